--- a/crates/decide/src/blocks.rs
+++ b/crates/decide/src/blocks.rs
@@ -1,4 +1,4 @@
-//! Client blocks: which zone a caller's address is nearest to.
+//! Client blocks: maps a caller's address to its nearest zone.
 
 use brasswinch_types::Zone;
 use ipnet::{IpNet, Ipv4Net, Ipv6Net};
@@ -6,10 +6,10 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-/// Index into the table's list of zones; keeps an entry small at 270,000 blocks.
+/// Index into the table's list of zones. 16 bits keep the entries of 270,000 blocks small.
 type ZoneIndex = u16;
 
-/// Longest-prefix match from address to zone.
+/// Maps addresses to zones by longest-prefix match.
 #[derive(Default)]
 pub struct BlockTable {
     zones: Vec<Zone>,
@@ -19,7 +19,8 @@
 }
 
 impl BlockTable {
-    /// Adds or replaces one block. Zones past the first 65,536 are refused.
+    /// Adds or replaces one block. Returns false, without adding it, if its zone would be
+    /// the 65,537th.
     pub fn insert(&mut self, block: IpNet, zone: &Zone) -> bool {
         let Some(index) = self.zone_index(zone) else {
             return false;
@@ -31,7 +32,7 @@
         true
     }
 
-    /// The zone of the longest block that covers `address`.
+    /// Returns the zone of the longest block that contains `address`.
     pub fn zone_of(&self, address: IpAddr) -> Option<&Zone> {
         let index = match address.to_canonical() {
             IpAddr::V4(address) => self.v4.get_lpm(&Ipv4Net::from(address)).map(|(_, i)| *i),
@@ -40,12 +41,12 @@
         self.zones.get(usize::from(index))
     }
 
-    /// How many blocks there are.
+    /// Returns the number of blocks.
     pub fn len(&self) -> usize {
         self.v4.len() + self.v6.len()
     }
 
-    /// Whether there is no block.
+    /// Whether the table has no blocks.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/decide/src/config_keeper.rs
+++ b/crates/decide/src/config_keeper.rs
@@ -1,8 +1,8 @@
-//! Keeps the newest entry of each configuration key and never goes back.
+//! Keeps the newest entry of each configuration key.
 //!
-//! Entries arrive from the store and from peers, late, twice and in any order.
-//! Merging is commutative, associative and idempotent, so all daemons that have
-//! seen the same entries hold the same set.
+//! Entries arrive from the store and from peers, possibly late, duplicated or out of
+//! order. An older entry never replaces a newer one. Merging is commutative, associative
+//! and idempotent, so all daemons that received the same entries hold the same set.
 
 use brasswinch_types::{ConfigEntry, ConfigKey, SubmissionId};
 use serde::{Deserialize, Serialize};
@@ -16,7 +16,7 @@
     pub key: ConfigKey,
     /// Its version.
     pub version: u64,
-    /// The submission that made it.
+    /// The submission that created it.
     pub submission: SubmissionId,
 }
 
@@ -30,14 +30,14 @@
     }
 }
 
-/// What became of an entry that was offered.
+/// The result of merging an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Merge {
-    /// It is newer and now in force.
+    /// The entry is newer and now in force.
     Newer,
-    /// It is the entry already in force.
+    /// The entry was already in force.
     Same,
-    /// It is older than the entry in force and was dropped.
+    /// The entry doesn't supersede the one in force and was dropped.
     Older,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl ConfigKeeper {
-    /// Takes `entry` if it is newer than what is held.
+    /// Stores `entry` if it supersedes the one held under its key.
     pub fn merge(&mut self, entry: ConfigEntry) -> Merge {
         let held = self.entries.get(&entry.key);
         if held == Some(&entry) {
@@ -66,34 +66,34 @@
         Merge::Newer
     }
 
-    /// The entry in force under `key`.
+    /// Returns the entry in force under `key`.
     pub fn get(&self, key: &ConfigKey) -> Option<&ConfigEntry> {
         self.entries.get(key)
     }
 
-    /// Every entry, withdrawn ones included.
+    /// Returns all entries, including withdrawn ones.
     pub fn entries(&self) -> impl Iterator<Item = &ConfigEntry> {
         self.entries.values()
     }
 
-    /// A number that is equal where the same versions are in force.
+    /// Returns a digest that is equal on daemons with the same versions in force.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The versions held, for a peer to compare with its own.
+    /// Returns the versions held, for a peer to compare with its own.
     pub fn held(&self) -> Vec<HeldVersion> {
         self.entries.values().map(HeldVersion::from).collect()
     }
 
-    /// Whether `offered` is newer than what is held under its key.
+    /// Whether `offered` is newer than the version held under its key, or none is held.
     pub fn lacks(&self, offered: &HeldVersion) -> bool {
         self.entries.get(&offered.key).is_none_or(|held| {
             (offered.version, offered.submission) > (held.version, held.submission)
         })
     }
 
-    /// The entries that a peer holding `theirs` lacks or holds older.
+    /// Returns the entries that are missing or older at a peer that holds `theirs`.
     pub fn missing_from(&self, theirs: &[HeldVersion]) -> Vec<ConfigEntry> {
         let theirs: BTreeMap<&ConfigKey, (u64, SubmissionId)> = theirs
             .iter()
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -1,34 +1,35 @@
-//! What one box knows of one upstream, and whether it may be given work.
+//! The health of one upstream as one box sees it, and whether the box may send it requests.
 //!
-//! Three sources can say that an upstream is leaving: the operators'
-//! configuration, the upstream's own reports and the platform's list. Any one
-//! suffices. A word that is older than the word it contradicts changes nothing.
+//! Three sources can mark an upstream as leaving: the operators' configuration, the
+//! upstream's own reports and the platform's list. Any one suffices. An upstream's report
+//! that isn't newer than its last one is ignored.
 
 use brasswinch_types::{Millis, UpstreamRest};
 
-/// Failed connections in a row after which an upstream is left alone.
+/// Number of consecutive connection failures after which an upstream is ejected.
 const EJECT_AFTER: u32 = 3;
 
-/// First time an upstream is left alone; doubles with each failure after that.
+/// Duration of the first ejection. It doubles with each further failure.
 const FIRST_EJECTION_MS: Millis = 500;
 
-/// Longest time an upstream is left alone.
+/// Maximum duration of an ejection.
 const LONGEST_EJECTION_MS: Millis = 15_000;
 
-/// Time after an upstream is first used, or used again, during which it is cold.
+/// Time over which an upstream warms up: from its first use, from its first use after an
+/// ejection, or from when the configuration stops marking it as leaving.
 const WARM_UP_MS: Millis = 5_000;
 
-/// How long an explicit refusal closes an upstream at least.
+/// Minimum time for which an explicit refusal closes an upstream.
 const REFUSAL_PAUSE_MS: Millis = 100;
 
-/// One upstream's own word about itself.
+/// A report from an upstream about itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamReport {
-    /// When the upstream made it, by its own clock; later reports are larger.
+    /// When the upstream made the report, by its own clock. Later reports have larger values.
     pub sequence: u64,
-    /// Whether it is leaving.
+    /// Whether the upstream is leaving.
     pub leaving: bool,
-    /// Requests it says it is running.
+    /// Number of requests that the upstream reports as running.
     pub in_use: u32,
 }
 
@@ -45,7 +46,8 @@
 }
 
 impl UpstreamHealth {
-    /// Takes what the configuration in force says. Only it can take its word back.
+    /// Sets whether the configuration in force marks the upstream as leaving. Only the
+    /// configuration can clear this; the upstream then warms up again.
     pub fn set_announced(&mut self, leaving: bool, now: Millis) {
         if self.announced && !leaving {
             self.warm_since = Some(now);
@@ -53,12 +55,12 @@
         self.announced = leaving;
     }
 
-    /// Takes what the platform's list says.
+    /// Sets whether the platform's list shows the upstream as leaving.
     pub fn set_listed_leaving(&mut self, leaving: bool) {
         self.listed_leaving = leaving;
     }
 
-    /// Takes the upstream's own report; one that is older than the last is dropped.
+    /// Records the upstream's own report. One that isn't newer than the last is dropped.
     pub fn report(&mut self, report: UpstreamReport) {
         let newer = self
             .reported
@@ -68,36 +70,37 @@
         }
     }
 
-    /// Whether any source says that it is leaving.
+    /// Whether any source marks the upstream as leaving.
     pub fn is_leaving(&self) -> bool {
         let says_so = self.reported.is_some_and(|report| report.leaving);
         self.announced || self.listed_leaving || says_so
     }
 
-    /// Work was sent.
+    /// Records that a request was sent.
     pub fn started(&mut self, now: Millis) {
         self.in_flight += 1;
         self.warm_since.get_or_insert(now);
     }
 
-    /// Work ended, well or not.
+    /// Records that a request ended, successfully or not.
     pub fn finished(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// It answered.
+    /// Records a response, which resets the count of failures.
     pub fn succeeded(&mut self) {
         self.failures = 0;
     }
 
-    /// It refused work explicitly, and may have asked for rest.
+    /// Records an explicit refusal and closes the upstream for the rest time it asked for,
+    /// or for the minimum if that is longer.
     pub fn refused(&mut self, rest: Option<UpstreamRest>, now: Millis) {
         let rest_ms = rest.map_or(0, UpstreamRest::ms);
         let pause_ms = rest_ms.max(REFUSAL_PAUSE_MS);
         self.closed_until = self.closed_until.max(now + pause_ms);
     }
 
-    /// A connection failed or broke.
+    /// Records a connection that failed or broke. Ejects the upstream after several in a row.
     pub fn failed(&mut self, now: Millis) {
         self.failures = self.failures.saturating_add(1);
         if self.failures < EJECT_AFTER {
@@ -109,15 +112,15 @@
         self.warm_since = None;
     }
 
-    /// Work in flight from this box.
+    /// Returns the number of requests in flight from this box.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// How reluctantly to give it one more request; `None` means not at all.
+    /// Returns the cost of sending one more request; `None` if none may be sent.
     ///
-    /// Own work in flight comes first, before any report. A cold upstream is
-    /// given one request at a time and more as it warms.
+    /// This box's own requests in flight outweigh the upstream's report. A cold upstream
+    /// gets one request at a time, and more as it warms up.
     pub fn cost(&self, slots: u32, now: Millis) -> Option<u32> {
         if self.is_leaving() || now < self.closed_until {
             return None;
@@ -130,8 +133,8 @@
         Some(self.in_flight * 256 + reported.min(255))
     }
 
-    /// How long it takes until one more request may be given to it, in milliseconds, where only
-    /// its warming up stands against that.
+    /// Returns the time in milliseconds until one more request may be sent, if warming up is
+    /// the only reason that none may be sent now.
     pub fn warmer_in(&self, slots: u32, now: Millis) -> Option<Millis> {
         if self.is_leaving() || now < self.closed_until {
             return None;
@@ -145,6 +148,7 @@
         Some(next_at.saturating_sub(now))
     }
 
+    /// Returns the number of slots usable at the present stage of the warm-up.
     fn ready_slots(&self, slots: u32, now: Millis) -> u32 {
         let Some(since) = self.warm_since else {
             return 1;
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,8 +1,8 @@
 //! Steering decisions as pure logic.
 //!
-//! Nothing in this package opens a socket, starts a task or reads a clock:
-//! every function takes the time as an argument, so that tests can explore
-//! pauses, lost messages and clocks at will. It knows nothing of transports.
+//! Nothing in this crate opens a socket, starts a task or reads a clock. Every
+//! function takes the time as an argument, so that tests can simulate pauses,
+//! lost messages and clock skew. The crate is independent of the transport.
 
 pub mod blocks;
 pub mod config_keeper;
--- a/crates/decide/src/links.rs
+++ b/crates/decide/src/links.rs
@@ -1,30 +1,31 @@
-//! Which boxes a box links to.
+//! Selects the boxes that a box links to.
 //!
-//! Inside the zone, every box. Every other zone is covered by a few boxes of this one,
-//! chosen by rendezvous hashing; each of them links to one box there and passes on what
-//! it hears in its heartbeats inside the zone. A box's links then grow with its zone
-//! and with the number of zones for each box of its own, not with the fleet.
+//! A box links to every box of its own zone. Each other zone is covered by a few boxes of
+//! this zone, chosen by rendezvous hashing. A covering box links to one box of the other
+//! zone and relays what it learns there in its heartbeats within its own zone. The number
+//! of links of a box thus depends on the size of its zone and the number of zones per box
+//! of its zone, not on the size of the fleet.
 
 use crate::members::BoxRecord;
 use brasswinch_types::{BoxId, Zone};
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// What the choice of links depends on.
+/// The inputs to the choice of links.
 pub struct LinkChoice<'a> {
-    /// The box that chooses.
+    /// The local box.
     pub me: &'a BoxId,
     /// Its zone.
     pub zone: &'a Zone,
-    /// The other boxes of its zone that are heard.
+    /// The other live boxes of its zone.
     pub neighbours: &'a [BoxId],
-    /// How many boxes of a zone cover each other zone.
+    /// Number of boxes of this zone that cover each other zone.
     pub links_per_zone: usize,
 }
 
 impl LinkChoice<'_> {
-    /// The boxes of `records` to link to. `usable` leaves out boxes that were just
-    /// dialled in vain.
+    /// Returns the boxes of `records` to link to. `usable` excludes boxes to which a
+    /// connection has just failed.
     pub fn desired<'r>(
         &self,
         records: impl Iterator<Item = &'r BoxRecord>,
@@ -47,7 +48,7 @@
         chosen
     }
 
-    /// Whether this box is one of those that cover `zone` for their neighbours.
+    /// Whether this box is one of those that cover `zone` for its neighbours.
     pub fn covers(&self, zone: &Zone) -> bool {
         is_chosen(self.me, zone, self.neighbours, self.links_per_zone)
     }
@@ -57,12 +58,13 @@
     }
 }
 
-/// Whether `me` is one of the `count` boxes of its zone that watch the store.
+/// Whether `me` is one of the `count` boxes of `zone` that watch the store.
 pub fn is_watcher(me: &BoxId, zone: &Zone, others: &[BoxId], count: usize) -> bool {
     is_chosen(me, zone, others, count)
 }
 
-/// Whether `me` ranks among the first `count` of itself and `others` for `task`.
+/// Whether `me` ranks among the first `count` of itself and `others`, by rendezvous hash
+/// with `task`.
 fn is_chosen(me: &BoxId, task: &Zone, others: &[BoxId], count: usize) -> bool {
     let mine = score(task.as_str(), me.as_str());
     let before_me = others
--- a/crates/decide/src/load_reports.rs
+++ b/crates/decide/src/load_reports.rs
@@ -1,32 +1,33 @@
-//! Load reports between boxes, and which of them are worth sending.
+//! Load reports between boxes, and the choice of the loads to send.
 //!
-//! Heartbeats are many; most loads stay about as they were. A report is sent when the
-//! idle part changed by an eighth of the whole, came to or from nothing, or when a full
-//! report is due, which makes good what a new or lossy link has missed.
+//! Heartbeats are frequent and most loads barely change between them. A load is sent when
+//! its idle slots changed by an eighth of the total, when they reached or left zero, when
+//! the total changed, or when a full report is due. Full reports repair what a new or
+//! lossy link has missed.
 
 use brasswinch_types::ServiceTag;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A change of idle slots by this part of all is worth a report.
+/// A load is sent when its idle slots changed by at least 1/`WORTH_PART` of the total.
 const WORTH_PART: u32 = 8;
 
-/// Every so many heartbeats all loads are sent.
+/// Number of heartbeats from one full report to the next.
 const FULL_EVERY: u32 = 8;
 
-/// The load of one service at one box or in one zone. A short array on links.
+/// The load of one service at one box or in one zone. Serialized as a short array.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "Wire", into = "Wire")]
 pub struct ServiceLoad {
     /// The service.
     pub service: ServiceTag,
-    /// Slots that work could be started on.
+    /// Slots on which a request can start now.
     pub idle: u32,
-    /// All slots.
+    /// Total slots.
     pub total: u32,
 }
 
-/// Service, idle, total.
+/// The serialized form: service, idle, total.
 type Wire = (ServiceTag, u32, u32);
 
 impl From<Wire> for ServiceLoad {
@@ -45,7 +46,7 @@
     }
 }
 
-/// Chooses the loads to send.
+/// Chooses the loads to send with each heartbeat.
 #[derive(Clone, Debug, Default)]
 pub struct LoadReporter {
     sent: BTreeMap<ServiceTag, ServiceLoad>,
@@ -53,7 +54,7 @@
 }
 
 impl LoadReporter {
-    /// The loads to send with the next heartbeat.
+    /// Returns the loads to send with the next heartbeat and records them as sent.
     pub fn due(&mut self, loads: Vec<ServiceLoad>) -> Vec<ServiceLoad> {
         let full = self.heartbeats.is_multiple_of(FULL_EVERY);
         self.heartbeats = self.heartbeats.wrapping_add(1);
@@ -67,7 +68,7 @@
         due
     }
 
-    /// Makes the next report a full one, for a link that is new.
+    /// Makes the next report a full one, for a new link.
     pub fn send_all_next(&mut self) {
         self.heartbeats = 0;
     }
--- a/crates/decide/src/members.rs
+++ b/crates/decide/src/members.rs
@@ -1,9 +1,9 @@
-//! What a box knows of the other boxes, and which of them it can reach.
+//! The other boxes' records, and which of these boxes are alive.
 //!
-//! A record is written by its box alone and orders itself by incarnation and
-//! sequence, so records can be relayed and merged in any order. Liveness is not
-//! in the record: it is what each box hears over its own links, plus what boxes
-//! linked to another zone say of the neighbours they hear there.
+//! Only a box itself writes its record. Records are ordered by incarnation and
+//! sequence, so they can be relayed and merged in any order. Liveness is not part
+//! of the record: it follows from the heartbeats that a box receives on its own
+//! links, and from those that boxes with a link to another zone relay from there.
 
 use crate::load_reports::ServiceLoad;
 use brasswinch_types::{BoxId, Incarnation, Millis, Region, ServiceTag, Zone};
@@ -11,35 +11,35 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// What a box is doing.
+/// The life-cycle state of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BoxState {
-    /// Learning what it may use; look-ups don't hand it out yet.
+    /// Collecting the state it needs; look-ups don't return it yet.
     Starting,
     /// Serving.
     Serving,
-    /// Finishing what it runs; takes nothing new.
+    /// Finishing its running requests; accepts no new ones.
     Leaving,
 }
 
-/// A box's own word about itself.
+/// A box's description of itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BoxRecord {
     /// The box.
     pub id: BoxId,
-    /// This run of its daemon. Later runs are larger.
+    /// Identifies the run of its daemon. Later runs have larger values.
     pub incarnation: Incarnation,
-    /// Goes up with each change of the record.
+    /// Increases with each change of the record.
     pub sequence: u64,
-    /// Where it stands.
+    /// The box's zone.
     pub zone: Zone,
     /// The zone's region.
     pub region: Region,
-    /// Where callers reach it.
+    /// Address for callers.
     pub caller_address: SocketAddr,
-    /// Where peers reach it.
+    /// Address for peers.
     pub peer_address: SocketAddr,
-    /// What it is doing.
+    /// Its life-cycle state.
     pub state: BoxState,
 }
 
@@ -49,37 +49,37 @@
     }
 }
 
-/// Time without a heartbeat after which a box counts as silent, in intervals that its
-/// last heartbeat announced.
+/// Number of heartbeat intervals without a heartbeat after which a box counts as silent.
+/// The box announces the interval with its heartbeats.
 const SILENT_AFTER_INTERVALS: u64 = 4;
 
 #[derive(Clone, Debug)]
 struct Member {
     record: BoxRecord,
-    /// Until when the last heartbeat counts.
+    /// When the box counts as silent unless another heartbeat arrives; `None` if it does now.
     heard_until: Option<Millis>,
     config_digest: u64,
     loads: BTreeMap<ServiceTag, ServiceLoad>,
 }
 
-/// Everything known of the other boxes.
+/// The known state of the other boxes.
 #[derive(Debug)]
 pub struct Members {
     me: BoxId,
     members: BTreeMap<BoxId, Member>,
 }
 
-/// What became of a record that was offered.
+/// The result of merging a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordMerge {
-    /// New or newer: relay it.
+    /// The record is new or newer and should be relayed.
     Newer,
-    /// Nothing new.
+    /// The record was known already, outdated or about the local box.
     Known,
 }
 
 impl Members {
-    /// Knows nobody yet.
+    /// Creates an empty list of members for the box `me`.
     pub fn new(me: BoxId) -> Self {
         Self {
             me,
@@ -87,7 +87,8 @@
         }
     }
 
-    /// Takes a record if it is newer than the one held.
+    /// Stores a record if it is newer than the one held. A new incarnation starts out silent
+    /// and without loads.
     pub fn merge(&mut self, record: BoxRecord) -> RecordMerge {
         if record.id == self.me {
             return RecordMerge::Known;
@@ -115,8 +116,8 @@
         }
     }
 
-    /// A heartbeat of `id` arrived, directly or by a neighbour's word; the next is due
-    /// within `interval_ms`.
+    /// Records a heartbeat of `id`, received directly or relayed by a neighbour; the next is
+    /// due within `interval_ms`. Heartbeats of another incarnation are ignored.
     pub fn heard(
         &mut self,
         id: &BoxId,
@@ -134,15 +135,15 @@
         member.heard_until = Some(member.heard_until.map_or(until, |held| held.max(until)));
     }
 
-    /// The link to `id` broke: it counts as silent until someone hears it again.
+    /// Records that the link to `id` broke; it counts as silent until its next heartbeat.
     pub fn lost(&mut self, id: &BoxId) {
         if let Some(member) = self.members.get_mut(id) {
             member.heard_until = None;
         }
     }
 
-    /// Takes the configuration digest of a heartbeat and the loads that it reports;
-    /// loads that it leaves out are as they were.
+    /// Records the configuration digest and the loads of a heartbeat. Loads that the
+    /// heartbeat omits are unchanged.
     pub fn report(&mut self, id: &BoxId, config_digest: u64, loads: Vec<ServiceLoad>) {
         let Some(member) = self.members.get_mut(id) else {
             return;
@@ -152,22 +153,22 @@
         member.loads.extend(by_service);
     }
 
-    /// The record held of `id`.
+    /// Returns the record of `id`.
     pub fn record(&self, id: &BoxId) -> Option<&BoxRecord> {
         self.members.get(id).map(|member| &member.record)
     }
 
-    /// The records of all other boxes.
+    /// Returns the records of all other boxes.
     pub fn records(&self) -> impl Iterator<Item = &BoxRecord> {
         self.members.values().map(|member| &member.record)
     }
 
-    /// The configuration digest that `id` last reported.
+    /// Returns the configuration digest that `id` last reported; 0 before its first report.
     pub fn config_digest(&self, id: &BoxId) -> Option<u64> {
         self.members.get(id).map(|member| member.config_digest)
     }
 
-    /// Whether `id` was heard recently.
+    /// Whether a heartbeat of `id` arrived recently.
     pub fn is_heard(&self, id: &BoxId, now: Millis) -> bool {
         self.members
             .get(id)
@@ -175,7 +176,7 @@
             .is_some_and(|until| now < until)
     }
 
-    /// The boxes of `zone` that are heard and serving.
+    /// Returns the boxes of `zone` that are alive and serving.
     pub fn serving_in(&self, zone: &Zone, now: Millis) -> Vec<&BoxRecord> {
         self.records()
             .filter(|record| &record.zone == zone && record.state == BoxState::Serving)
@@ -183,19 +184,19 @@
             .collect()
     }
 
-    /// The load that `id` last reported for `service`.
+    /// Returns the load that `id` last reported for `service`.
     pub fn load_of(&self, id: &BoxId, service: ServiceTag) -> Option<&ServiceLoad> {
         self.members.get(id)?.loads.get(&service)
     }
 
-    /// The boxes of `zone`, heard or not.
+    /// Returns all known boxes of `zone`, alive or silent.
     pub fn known_in(&self, zone: &Zone) -> Vec<&BoxRecord> {
         self.records()
             .filter(|record| &record.zone == zone)
             .collect()
     }
 
-    /// The boxes of `zone` that are known but not heard.
+    /// Returns the known boxes of `zone` that are silent.
     pub fn silent_in(&self, zone: &Zone, now: Millis) -> Vec<BoxId> {
         self.known_in(zone)
             .into_iter()
@@ -204,7 +205,7 @@
             .collect()
     }
 
-    /// Drops records of boxes that the platform's list shows gone.
+    /// Removes the boxes for which `gone` is true: those gone from the platform's list.
     pub fn forget(&mut self, gone: impl Fn(&BoxId) -> bool) {
         self.members.retain(|id, _| !gone(id));
     }
--- a/crates/decide/src/once.rs
+++ b/crates/decide/src/once.rs
@@ -1,35 +1,35 @@
-//! The ledger of tickets: each runs at most once, on one incarnation of one box.
+//! Ensures that each ticket runs at most once, on one incarnation of one box.
 //!
-//! The ledger lives in memory and dies with its incarnation, which is safe
-//! because a ticket names the incarnation: a successor never runs it. A ticket
-//! can also be voided by a peer whose caller lost contact with this box; once
-//! voided it never runs here, so the peer can truthfully answer `not_run`.
+//! The ledger is held in memory and lost on restart. This is safe because a ticket
+//! names the incarnation, so a later incarnation never runs it. A peer whose caller
+//! lost its connection to this box can void a ticket. A voided ticket never runs
+//! here, so the peer can safely answer `not_run`.
 
 use brasswinch_types::{BoxId, ErrorKind, Incarnation, ServiceKey, Ticket};
 use std::collections::{BTreeSet, HashMap};
 
-/// How long a used ticket is remembered past its expiry, for clocks that differ.
+/// Time for which a used ticket is kept after its expiry, to allow for clock skew.
 pub const CLOCK_MARGIN_MS: u64 = 60_000;
 
-/// What is known of a used ticket.
+/// The state of a used ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TicketState {
-    /// It was admitted and an upstream may have run it.
+    /// The request was admitted, and an upstream may have run it.
     MayHaveRun,
-    /// It was voided before anything was sent.
+    /// The ticket was voided before anything was sent.
     Voided,
 }
 
-/// What a request brings that must match its ticket.
+/// The parts of a request that must match its ticket.
 #[derive(Clone, Copy, Debug)]
 pub struct Presented<'a> {
     /// The service that the request names.
     pub service: &'a ServiceKey,
-    /// The caller's own key, where it sent one.
+    /// The caller's own key, if it sent one.
     pub key: Option<&'a str>,
 }
 
-/// Tickets used on this incarnation, until they can't be presented any more.
+/// The tickets used on this incarnation, kept until they can no longer be presented.
 #[derive(Debug)]
 pub struct TicketLedger {
     box_id: BoxId,
@@ -40,7 +40,7 @@
 }
 
 impl TicketLedger {
-    /// An empty ledger for one incarnation.
+    /// Creates an empty ledger for one incarnation.
     pub fn new(box_id: BoxId, incarnation: Incarnation) -> Self {
         Self {
             box_id,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Uses a ticket. On `Ok` the caller of this function, and nobody else, may run it.
+    /// Marks a ticket as used. After `Ok` only the caller of this function may run it.
     pub fn admit(
         &mut self,
         ticket: &Ticket,
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Gives a ticket back after it was admitted but certainly not run.
+    /// Makes an admitted ticket usable again; its request must not have run.
     pub fn release(&mut self, ticket: &Ticket) {
         self.used.remove(&ticket.nonce);
         self.expiries.remove(&(
@@ -87,7 +87,7 @@
         ));
     }
 
-    /// Voids a ticket for a peer. `Voided` means that it has not run and never will.
+    /// Voids a ticket for a peer. `Voided` means that it hasn't run and never will.
     pub fn void(&mut self, ticket: &Ticket, wall_ms: u64) -> TicketState {
         if !self.is_for_me(ticket) {
             return TicketState::MayHaveRun;
@@ -103,12 +103,12 @@
         TicketState::Voided
     }
 
-    /// How many tickets are remembered.
+    /// Returns the number of tickets in the ledger.
     pub fn len(&self) -> usize {
         self.used.len()
     }
 
-    /// Whether no ticket is remembered.
+    /// Whether the ledger has no tickets.
     pub fn is_empty(&self) -> bool {
         self.used.is_empty()
     }
@@ -123,8 +123,8 @@
         self.expiries.insert((forget_at, ticket.nonce));
     }
 
-    /// Forgets what has expired. A wall clock that is set back stays where it was,
-    /// or a forgotten ticket could look unexpired.
+    /// Advances the wall clock, removes expired tickets and returns the time to use. The time
+    /// never goes back, because a removed ticket could then seem unexpired and run again.
     fn advance(&mut self, wall_ms: u64) -> u64 {
         self.latest_wall_ms = self.latest_wall_ms.max(wall_ms);
         self.forget_expired(self.latest_wall_ms);
--- a/crates/decide/src/regions.rs
+++ b/crates/decide/src/regions.rs
@@ -1,43 +1,44 @@
-//! Which regions can take traffic now, and the shares to aim at.
+//! Scales the planned shares of regions by their measured load.
 //!
-//! A measurement may lower a region's factor at once and raises it only slowly:
-//! a report that lags or lies can then cost headroom for a while but can't send
-//! a flood. Admission in the region stays the judge of what it really takes.
+//! A report that a region is down sets its factor to zero at once; a full region's
+//! factor falls faster than it rises again. A late or wrong report can therefore
+//! waste capacity for a while but can't overload a region. Admission control in
+//! the region still decides what it accepts.
 
 use crate::shift::Shares;
 use brasswinch_types::{Millis, Region};
 use std::collections::BTreeMap;
 
-/// Idle part of a region's load below which it counts as full.
+/// Idle fraction of a region's load below which it counts as full.
 const FULL_BELOW: f64 = 0.05;
 
-/// Idle part of a region's load above which it is given more again.
+/// Idle fraction of a region's load above which its factor rises again.
 const EASY_ABOVE: f64 = 0.15;
 
-/// How far a full region's factor falls in a second.
+/// Decrease of a full region's factor per second.
 const FALL_PER_SECOND: f64 = 0.25;
 
-/// How far a region's factor rises in a second.
+/// Increase of a region's factor per second while it has idle capacity.
 const RISE_PER_SECOND: f64 = 0.05;
 
-/// A full region keeps at least this part of its planned share.
+/// Lower bound of the factor of a region that isn't down.
 const LEAST_FACTOR: f64 = 0.1;
 
-/// Longest time between two measurements that is accounted for.
+/// Longest time between two reports that one step accounts for.
 const MAX_STEP_MS: Millis = 2_000;
 
-/// What is known of one region for one service.
+/// The state of one region for one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RegionReport {
-    /// At least one box there is heard; this part of its load is idle.
+    /// At least one box there is alive; the value is the idle fraction of the region's load.
     Idle(f64),
-    /// Boxes are heard, but no recent load report is at hand.
+    /// Boxes there are alive, but there is no recent load report.
     Unmeasured,
     /// No box there can be reached, or its load is zero.
     Down,
 }
 
-/// The factors that scale a service's planned shares.
+/// The factors, from 0 to 1, that scale a service's planned shares.
 #[derive(Clone, Debug, Default)]
 pub struct RegionFactors {
     factors: BTreeMap<Region, Factor>,
@@ -50,7 +51,7 @@
 }
 
 impl RegionFactors {
-    /// Takes one report of one region.
+    /// Updates the factor of `region` from a report.
     pub fn observe(&mut self, region: &Region, report: RegionReport, now: Millis) {
         let factor = self.factors.entry(region.clone()).or_insert(Factor {
             value: 1.0,
@@ -78,7 +79,8 @@
             .is_some_and(|factor| factor.value == 0.0)
     }
 
-    /// The planned shares scaled by the factors; empty where every region is down.
+    /// Returns the planned shares scaled by the factors and normalized to a sum of 1;
+    /// empty if every planned region is down.
     pub fn target(&self, planned: &Shares) -> Shares {
         let scaled: Shares = planned
             .iter()
--- a/crates/decide/src/retry_budget.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -1,13 +1,13 @@
-//! A budget that keeps retries a small part of the traffic.
+//! A retry budget, which keeps retries a small fraction of the traffic.
 //!
-//! Each first try earns a fraction of a retry; each retry spends one. When
-//! upstreams fail widely the budget runs out, and the load they see grows by no
-//! more than that fraction.
+//! Each first attempt earns a fraction of a retry, and each retry spends a whole one.
+//! When many upstreams fail, the budget runs out, and retries then add no more than
+//! that fraction to the load.
 
-/// Retries earned by one first try.
+/// Retries earned by one first attempt.
 const EARNED_PER_TRY: f64 = 0.1;
 
-/// Most retries that can be saved up.
+/// Maximum number of retries that can accumulate.
 const MAX_SAVED: f64 = 10.0;
 
 /// The retry budget of one service on one box.
@@ -23,12 +23,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a first try.
+    /// Credits the budget for a first attempt.
     pub fn earn(&mut self) {
         self.saved = (self.saved + EARNED_PER_TRY).min(MAX_SAVED);
     }
 
-    /// Takes one retry out, if one is left.
+    /// Spends one retry. Returns false if less than one is left.
     pub fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
--- a/crates/decide/src/selector.rs
+++ b/crates/decide/src/selector.rs
@@ -1,21 +1,21 @@
-//! Picks regions so that the counts follow the shares within one request.
+//! Picks regions by smooth weighted round robin.
 //!
-//! Smooth weighted round robin: every pick credits each region with its share
-//! and takes the region with the most credit. Random picks would scatter around
-//! the shares and could look like a shift over the cap.
+//! Every pick credits each region with its share and takes the region with the
+//! highest credit, so the counts stay within about one request of the shares.
+//! Random picks would deviate further, which could look like a shift over the cap.
 
 use crate::shift::Shares;
 use brasswinch_types::Region;
 use std::collections::BTreeMap;
 
-/// Credits of the regions of one service and origin.
+/// The regions' credits for one service and origin.
 #[derive(Clone, Debug, Default)]
 pub struct Selector {
     credits: BTreeMap<Region, f64>,
 }
 
 impl Selector {
-    /// The next region, or `None` where no region has a share.
+    /// Returns the next region, or `None` if no region has a share.
     pub fn pick(&mut self, shares: &Shares) -> Option<Region> {
         self.credits.retain(|region, _| shares.contains_key(region));
         let mut best: Option<(&Region, f64)> = None;
--- a/crates/decide/src/shift.rs
+++ b/crates/decide/src/shift.rs
@@ -1,25 +1,26 @@
 //! Moves an origin's traffic between regions no faster than the policy's cap.
 //!
 //! The distance between two share vectors is half the sum of the absolute
-//! differences: the fraction of requests that would go elsewhere. In any window
-//! of the policy's length the shares move at most the cap. Every daemon keeps
-//! to it by itself, so any mean of daemons, weighted by traffic, keeps to it too.
+//! differences, which is the fraction of requests that would go elsewhere. In any
+//! window of the policy's length the shares move at most by the cap. Every daemon
+//! enforces the cap on its own, so it also holds for the traffic-weighted mean of
+//! any set of daemons.
 
 use brasswinch_types::{Millis, Region, ShiftCap};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The share of each region; shares add up to 1.
+/// The share of each region. The shares add up to 1.
 pub type Shares = BTreeMap<Region, f64>;
 
-/// Longest time that one step accounts for. A daemon that was paused doesn't
-/// catch up by a jump: the time it slept is not credited.
+/// Longest time that one step accounts for. A daemon resuming from a pause doesn't jump
+/// ahead, because the time of the pause isn't credited.
 const MAX_STEP_MS: Millis = 500;
 
-/// Shares closer than this count as equal.
+/// Tolerance below which shares count as equal.
 const EPSILON: f64 = 1e-9;
 
-/// The shares in use for one service and origin, and how they move.
+/// The shares in use for one service and origin, and when they last moved.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShiftState {
     shares: Shares,
@@ -27,7 +28,7 @@
 }
 
 impl ShiftState {
-    /// Starts at `shares`: what peers use now, or the plan's where nobody uses any.
+    /// Starts at `shares`: those that peers use now, or the planned ones if no peer has any.
     pub fn new(shares: Shares, now: Millis) -> Self {
         Self {
             shares,
@@ -35,15 +36,15 @@
         }
     }
 
-    /// The shares in use.
+    /// Returns the shares in use.
     pub fn shares(&self) -> &Shares {
         &self.shares
     }
 
     /// Moves towards `target` as far as the cap allows by `now`.
     ///
-    /// `cached_ms` is how long callers may keep an answer: their requests follow
-    /// that much later, so it lengthens the window that the cap is spread over.
+    /// `cached_ms` is how long callers may cache a look-up response. Their requests
+    /// follow that much later, so it lengthens the window that the cap applies to.
     pub fn step(&mut self, target: &Shares, cap: ShiftCap, cached_ms: Millis, now: Millis) {
         let elapsed = now.saturating_sub(self.stepped_at).min(MAX_STEP_MS);
         self.stepped_at = now;
@@ -59,7 +60,7 @@
     }
 }
 
-/// The fraction of requests that go elsewhere under `b` than under `a`.
+/// Returns the fraction of requests that go to another region under `b` than under `a`.
 pub fn distance(a: &Shares, b: &Shares) -> f64 {
     let mut sum = 0.0;
     for (region, share) in a {
@@ -73,7 +74,7 @@
     sum / 2.0
 }
 
-/// The point that lies `part` of the way from `from` to `to`.
+/// Interpolates linearly between `from` and `to`; `part` is the fraction of the way.
 fn blend(from: &Shares, to: &Shares, part: f64) -> Shares {
     let mut blended = Shares::new();
     for region in from.keys().chain(to.keys()) {
--- a/crates/decide/src/slots.rs
+++ b/crates/decide/src/slots.rs
@@ -1,102 +1,105 @@
-//! The load of one service in one zone, as slots that boxes own, lend and borrow.
+//! The concurrency limit of one service in one zone, as slots that boxes own, lend and
+//! borrow.
 //!
-//! The zone may run `load` requests of the service at a time; that is slots
+//! The zone may run `load` requests of the service at a time, on the slots
 //! `0..load`. A slot belongs to the box that owns its unit in the zone's table,
-//! and at most one box at a time may start work on it:
+//! and at most one box at a time may start a request on it:
 //!
-//! * The owner may, with no time limit, in every cut and outage.
+//! * The owner may do so without a time limit, also during partitions and outages.
 //! * The owner can lend an idle slot. The borrower counts the loan's term from
-//!   the moment it **asked**, by its own clock; the owner counts from the moment
-//!   it **granted**, and takes the slot back only when the borrower returns it or
+//!   the time of its **request**, by its own clock. The owner counts from the time
+//!   of its **grant**, and reclaims the slot only when the borrower returns it or
 //!   when the term, the longest run and a margin have passed. However long the
-//!   messages take or the borrower sleeps, the borrower's right ends first.
-//! * An owner that can't know what its predecessor lent or ran holds the slot
-//!   back until everyone has reported or the longest possible use has passed.
+//!   messages are delayed or the borrower is paused, the borrower's term ends first.
+//! * An owner that doesn't know which slots its predecessor lent or used holds them
+//!   back until all peers have reported or the longest possible use has passed.
 
 use brasswinch_types::{BoxId, Millis, UnitTable, unit_of_slot};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long loans last and what they allow for.
+/// The durations that apply to loans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoanTerms {
-    /// Time from asking during which the borrower may start work.
+    /// Time after its request during which the borrower may start work.
     pub term_ms: Millis,
-    /// Longest time that work may go on after it was started.
+    /// Maximum duration of work after its start.
     pub max_run_ms: Millis,
-    /// Allowance for clocks that run at different speeds and for late cancellation.
+    /// Margin for clock drift and late cancellation.
     pub margin_ms: Millis,
 }
 
 impl LoanTerms {
-    /// Longest time from granting until no work on the loan can be left.
+    /// Returns the time after the grant when no work on the loan can be running any more.
     pub fn longest_use_ms(&self) -> Millis {
         self.term_ms + self.max_run_ms + self.margin_ms
     }
 }
 
-/// Identifies one loan among all that its lender makes.
+/// Identifies a loan among all loans of its lender.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct LoanId(pub u64);
 
-/// A slot on loan, as the lender tells the borrower.
+/// A slot on loan, as the lender announces it to the borrower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Loan {
     /// The slot.
     pub slot: u32,
-    /// The loan; a return must name it.
+    /// The loan's id, which a return must name.
     pub id: LoanId,
 }
 
-/// A slot to be handed back to its lender.
+/// A slot to return to its lender.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Returned {
-    /// Who lent it.
+    /// The box that lent the slot.
     pub lender: BoxId,
-    /// What was lent.
+    /// The loan to return.
     pub loan: Loan,
 }
 
-/// The right to run one request.
+/// Permission to run one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotGrant {
-    /// The slot that the request occupies until it is finished.
+    /// The slot that the request occupies until it finishes.
     pub slot: u32,
-    /// When work must have been sent, for borrowed slots.
+    /// Time before which the request must be sent, for borrowed slots.
     pub send_before: Option<Millis>,
 }
 
-/// Counts of a pool's slots.
+/// Counts of the slots of a pool. Slots above the load are counted only where busy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotCounts {
-    /// Slots that this box owns and hasn't lent.
+    /// Slots that this box owns and hasn't lent, including those held back.
     pub held: u32,
-    /// Slots that it could start work on at once.
+    /// Slots on which it can start work now.
     pub idle: u32,
-    /// Slots with work on them.
+    /// Slots with running work.
     pub busy: u32,
-    /// Slots it has on loan from others.
+    /// Slots on loan from other boxes.
     pub borrowed: u32,
-    /// Slots it has lent.
+    /// Slots on loan to other boxes.
+    #[serde(rename = "lent")]
     pub lent: u32,
 }
 
+/// This box's right to use a slot.
 #[derive(Clone, Debug, PartialEq)]
 enum Right {
-    /// Another box's, as far as this one knows.
+    /// Not usable here; as far as known, another box owns the slot.
     None,
-    /// This box's own.
+    /// This box owns the slot.
     Own,
-    /// This box's own, but a predecessor may have work or loans on it.
+    /// This box owns the slot, but a previous owner may still have work or a loan on it.
     HeldBack { until: Millis },
-    /// This box's own, on loan to another.
+    /// This box owns the slot and has lent it to another.
     Lent {
         borrower: BoxId,
         id: LoanId,
         back_at: Millis,
     },
-    /// Another box's, on loan to this one.
+    /// Another box owns the slot and has lent it to this one.
     Borrowed {
         lender: BoxId,
         id: LoanId,
@@ -110,7 +113,7 @@
     busy: bool,
 }
 
-/// The slots of one service in one zone, as one box sees them.
+/// The slots of one service in one zone, as seen by one box.
 #[derive(Debug)]
 pub struct SlotPool {
     me: BoxId,
@@ -118,12 +121,13 @@
     terms: LoanTerms,
     slots: Vec<Slot>,
     next_loan: u64,
-    /// The last loan taken from each lender.
+    /// The last loan received from each lender.
     last_taken: BTreeMap<BoxId, LoanId>,
 }
 
 impl SlotPool {
-    /// A pool without rights. `first_loan` must differ between incarnations.
+    /// Creates a pool without slots. `first_loan`, the id of its first loan, must differ
+    /// between incarnations.
     pub fn new(me: BoxId, terms: LoanTerms, first_loan: u64) -> Self {
         Self {
             me,
@@ -135,9 +139,9 @@
         }
     }
 
-    /// Takes a new load and new terms from a plan. Work on slots that fall away goes on.
+    /// Sets the load and the loan terms. Running work on slots above a reduced load continues.
     ///
-    /// `hold_back` matters for slots that this pool didn't have before.
+    /// `hold_back` applies to the slots that are new to this pool.
     pub fn set_load(
         &mut self,
         load: u32,
@@ -164,10 +168,10 @@
         }
     }
 
-    /// Takes a new table of unit owners.
+    /// Applies a new table of unit owners.
     ///
-    /// `hold_back` says whether units that are new here may carry work or loans
-    /// of a previous owner.
+    /// `hold_back` tells whether a previous owner may have work or loans on units that are
+    /// new to this box.
     pub fn set_table(&mut self, table: &UnitTable, hold_back: HoldBack, now: Millis) {
         for slot in 0..self.slots.len() as u32 {
             self.drop_if_lost(slot, table);
@@ -175,9 +179,9 @@
         }
     }
 
-    /// Starts work on the idle slot that `cost` likes best; `None` from `cost` rules a slot out.
+    /// Starts work on the idle slot with the lowest `cost`; `None` from `cost` excludes a slot.
     ///
-    /// Own slots go before borrowed ones of equal cost.
+    /// Own slots are preferred to borrowed ones of equal cost.
     pub fn admit(&mut self, now: Millis, cost: impl Fn(u32) -> Option<u32>) -> Option<SlotGrant> {
         self.settle(now);
         let best = (0..self.load.min(self.slots.len() as u32))
@@ -197,7 +201,8 @@
         Some(SlotGrant { slot, send_before })
     }
 
-    /// Ends the work on a slot. A borrowed slot past its term goes back to its lender.
+    /// Ends the work on a slot. Returns the slot if it is on loan and past its term, to be
+    /// sent back to its lender.
     pub fn finish(&mut self, slot: u32, now: Millis) -> Option<Returned> {
         let entry = self.slots.get_mut(slot as usize)?;
         entry.busy = false;
@@ -208,7 +213,7 @@
     }
 
     /// Lends up to `want` idle own slots to `borrower`, at most half of the idle ones
-    /// (rounded up), so that a burst here still finds some.
+    /// (rounded up), so that some are left for a local burst.
     pub fn lend(&mut self, borrower: &BoxId, want: u32, now: Millis) -> Vec<Loan> {
         self.settle(now);
         let idle: Vec<u32> = (0..self.load.min(self.slots.len() as u32))
@@ -230,11 +235,11 @@
         loans
     }
 
-    /// Takes loans that were asked for at `asked_at`; returns those that can't be used.
+    /// Accepts loans that were requested at `asked_at`; returns those that can't be used.
     ///
-    /// A lender numbers its loans upwards. A grant that isn't newer than the last one
-    /// taken came twice or was overtaken; it is dropped without a word, because handing
-    /// it back could end a loan that is in use.
+    /// A lender's loan ids increase. A loan that isn't newer than the last one received
+    /// before this call is a duplicate or out of order. It is dropped without being
+    /// returned, because returning it could end a loan that is in use.
     pub fn borrow(
         &mut self,
         lender: &BoxId,
@@ -269,7 +274,8 @@
         refused
     }
 
-    /// Takes back a slot from `borrower`; a return of an earlier loan changes nothing.
+    /// Accepts the return of a slot from `borrower`. Returns false, without any effect, if
+    /// that loan isn't the slot's current one.
     pub fn take_back(&mut self, borrower: &BoxId, loan: Loan) -> bool {
         let Some(entry) = self.slots.get_mut(loan.slot as usize) else {
             return false;
@@ -287,7 +293,8 @@
         }
     }
 
-    /// The borrowed slots to hand back: idle, and past `keep_until` or their term.
+    /// Gives up the idle borrowed slots and returns them. With `keep`, only those past their
+    /// term.
     pub fn return_idle(&mut self, keep: bool, now: Millis) -> Vec<Returned> {
         let mut returned = Vec::new();
         for slot in 0..self.slots.len() as u32 {
@@ -303,8 +310,8 @@
         returned
     }
 
-    /// The lender is leaving: hands its idle slots back now, the others when their work
-    /// ends, so that it needn't wait for the term.
+    /// Ends the loans from a lender that is leaving, so that it needn't wait for their term.
+    /// Returns the idle slots now; the busy ones are returned when their work finishes.
     pub fn recall(&mut self, leaving: &BoxId) -> Vec<Returned> {
         let mut returned = Vec::new();
         for slot in 0..self.slots.len() as u32 {
@@ -326,9 +333,10 @@
         returned
     }
 
-    /// The slots this box uses on loan from `lender`, for a lender that has restarted.
+    /// Returns the slots on loan from `lender` that are in use here, for a lender that has
+    /// restarted.
     ///
-    /// Idle ones are dropped on the spot, so only those with work are reported.
+    /// Gives up the idle ones at once, so that only busy slots are reported.
     pub fn in_use_from(&mut self, lender: &BoxId) -> Vec<u32> {
         let mut in_use = Vec::new();
         for (index, entry) in self.slots.iter_mut().enumerate() {
@@ -347,7 +355,7 @@
         in_use
     }
 
-    /// Ends the holding back of every slot except those that peers reported in use.
+    /// Releases every held-back slot except those that peers reported as `in_use`.
     pub fn release_held_back(&mut self, in_use: &[u32]) {
         for (index, entry) in self.slots.iter_mut().enumerate() {
             let held_back = matches!(entry.right, Right::HeldBack { .. });
@@ -357,7 +365,7 @@
         }
     }
 
-    /// Whether no work and no loan is left on any slot of `unit`, so that it can be given away.
+    /// Whether no slot of `unit` is busy here or lent, so that the unit can be given up.
     pub fn unit_is_quiet(&self, unit: usize) -> bool {
         self.slots
             .iter()
@@ -366,7 +374,7 @@
             .all(|(_, entry)| !entry.busy && !matches!(entry.right, Right::Lent { .. }))
     }
 
-    /// Counts the slots by what can be done with them.
+    /// Counts the slots by ownership and use.
     pub fn counts(&self, now: Millis) -> SlotCounts {
         let mut counts = SlotCounts::default();
         for slot in 0..self.slots.len() as u32 {
@@ -386,8 +394,7 @@
         counts
     }
 
-    /// Ends what has run out: loans out whose last possible use has passed, held-back
-    /// times, and idle borrowed slots past their term.
+    /// Makes own slots usable again after their loan or hold-back time has expired.
     fn settle(&mut self, now: Millis) {
         for entry in &mut self.slots {
             match entry.right {
@@ -398,6 +405,7 @@
         }
     }
 
+    /// Whether work can start on `slot` now.
     fn can_start(&self, slot: u32, now: Millis) -> bool {
         let entry = &self.slots[slot as usize];
         if entry.busy {
@@ -458,11 +466,12 @@
     }
 }
 
-/// Whether newly owned units may still carry a previous owner's work or loans.
+/// Whether newly owned units can still have work or loans of a previous owner.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HoldBack {
-    /// The previous owner gave them up when they were quiet.
+    /// They can't: the previous owner gave the units up when they were unused.
     No,
-    /// They were a box's that died, or this box's own before a restart.
+    /// They can, for the longest possible use: the previous owner died, or was this box
+    /// itself before a restart.
     LongestUse,
 }
--- a/crates/decide/src/unit_claims.rs
+++ b/crates/decide/src/unit_claims.rs
@@ -1,18 +1,19 @@
-//! Who should own the units of a zone: claiming, giving and reclaiming.
+//! Ownership of a zone's units: claiming, giving up and taking over.
 //!
 //! Every change is one compare-and-swap on the zone's table in the platform's
-//! store. A box gives units up only when they are quiet, and takes units over
-//! from another box only when the platform's list shows that box gone; a box
-//! that is silent, frozen or cut off keeps its units, because it may be serving.
+//! store. A box gives up units only when they are unused, and takes units over
+//! from another box only when that box is gone from the platform's list. A box
+//! that is silent, frozen or partitioned keeps its units, because it may still be
+//! serving.
 
 use brasswinch_types::{BoxId, Incarnation, Millis, UNITS, UnitOwner, UnitTable};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time that a box must be missing from the platform's list before its units
-/// are taken over, in milliseconds.
+/// are taken over, in milliseconds. Applies to boxes that were listed before.
 pub const GONE_AFTER_MS: Millis = 3_000;
 
-/// Remembers which boxes the platform's list has shown and dropped.
+/// Tracks how long the owners of units have been missing from the platform's list.
 #[derive(Debug, Default)]
 pub struct ListWatch {
     missing_since: BTreeMap<BoxId, Millis>,
@@ -20,7 +21,7 @@
 }
 
 impl ListWatch {
-    /// Takes a reading of the list; `holders` are the boxes that own units.
+    /// Processes a reading of the list; `holders` are the boxes that own units.
     pub fn observe(&mut self, listed: &BTreeSet<BoxId>, holders: &[BoxId], now: Millis) {
         self.seen.extend(listed.iter().cloned());
         self.missing_since
@@ -32,10 +33,10 @@
         }
     }
 
-    /// Whether `id` has been gone from the list for long enough.
+    /// Whether `id` has been missing from the list for long enough to count as gone.
     ///
-    /// A box that this daemon never saw listed may be too new for the lagging
-    /// list, so it is given `never_seen_ms` instead.
+    /// A box that this daemon never saw in the list may be too new for the list, which
+    /// lags, so `never_seen_ms` applies to it in place of `GONE_AFTER_MS`.
     pub fn is_gone(&self, id: &BoxId, never_seen_ms: Millis, now: Millis) -> bool {
         let Some(since) = self.missing_since.get(id) else {
             return false;
@@ -58,8 +59,8 @@
     pub taken_over: Vec<usize>,
 }
 
-/// What a box takes: free units and those of gone boxes, up to an equal share of
-/// the `boxes` that are live in the zone.
+/// Returns the claim of `me` on free units and on those of gone boxes, up to an equal
+/// share among the `boxes` live in the zone; `None` if there is nothing to claim.
 pub fn claim(
     table: &UnitTable,
     me: &BoxId,
@@ -101,8 +102,8 @@
     })
 }
 
-/// The units that a box with more than its share should give up, for boxes that
-/// have less than theirs to claim. `quiet` says which units it can give now.
+/// Returns the units above its share that `me` should give up, so that boxes below their
+/// share can claim them. `quiet` tells which units can be given up now.
 pub fn surplus(
     table: &UnitTable,
     me: &BoxId,
@@ -119,7 +120,7 @@
         .collect()
 }
 
-/// The units that `me` owns.
+/// Returns the units that `me` owns.
 pub fn owned(table: &UnitTable, me: &BoxId) -> Vec<usize> {
     let mine = |owner: &Option<UnitOwner>| owner.as_ref().is_some_and(|o| o.box_id == *me);
     (0..table.owners.len())
@@ -127,7 +128,7 @@
         .collect()
 }
 
-/// The table after `me` gives up `units`.
+/// Returns the table after `me` gives up `units`, with the next version.
 pub fn give_up(table: &UnitTable, me: &BoxId, units: &[usize]) -> UnitTable {
     let mut next = table.clone();
     for unit in units {
--- a/crates/decide/src/zone_load.rs
+++ b/crates/decide/src/zone_load.rs
@@ -1,9 +1,9 @@
-//! Splits a region's load over its zones.
+//! Splits a region's load among its zones.
 
-/// The part of `region_load` that falls to zone `index`, by the zones' slots.
+/// Returns the part of `region_load` for zone `index`, in proportion to the zones' slots.
 ///
-/// Cumulative rounding: the parts add up to `region_load` exactly, and every
-/// box computes the same parts from the same deployment.
+/// Rounds the cumulative sums, so that the parts add up to `region_load` exactly and
+/// every box computes the same parts from the same deployment.
 pub fn zone_load(region_load: u32, zone_slots: &[u32], index: usize) -> u32 {
     let total: u64 = zone_slots.iter().map(|slots| u64::from(*slots)).sum();
     if total == 0 || index >= zone_slots.len() {
--- a/crates/decide/src/zone_rank.rs
+++ b/crates/decide/src/zone_rank.rs
@@ -1,21 +1,22 @@
-//! The order in which the zones of a region are handed out.
+//! The order in which look-ups return the zones of a region.
 //!
-//! The caller's own zone comes first while it has clear room. Beyond that zones are
-//! drawn at random by their room: load reports are some hundred milliseconds old, and
-//! always taking the best would send everyone to one zone until the next report.
+//! The caller's own zone comes first while it has spare capacity. The other zones are
+//! drawn at random, weighted by their idle slots: load reports are a few hundred
+//! milliseconds old, and always choosing the best zone would send every caller to it
+//! until the next report.
 
-/// A zone that could be handed out.
+/// The capacity of a candidate zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ZoneRoom {
-    /// Whether it is the caller's own.
+    /// Whether it is the caller's own zone.
     pub near: bool,
-    /// Idle slots, less callers sent there since the report.
+    /// Idle slots, minus the callers sent there since the last load report.
     pub idle: u32,
-    /// All slots.
+    /// Total slots.
     pub total: u32,
 }
 
-/// The own zone has clear room above this part of its slots, as one over it.
+/// A zone has spare capacity while more than 1/`CLEAR_ROOM_PART` of its slots are idle.
 const CLEAR_ROOM_PART: u32 = 4;
 
 impl ZoneRoom {
@@ -23,20 +24,22 @@
         self.idle * CLEAR_ROOM_PART > self.total
     }
 
-    /// A zone that seems full keeps some weight: the report may be old.
+    /// Returns the zone's weight in the draw. A zone reported as full keeps some weight,
+    /// because the report may be outdated.
     fn weight(&self) -> f64 {
         f64::from(self.idle) + f64::from(self.total) / f64::from(CLEAR_ROOM_PART) + 1.0
     }
 }
 
-/// The indexes of `zones`, best first. `draw` gives numbers above 0 and at most 1.
+/// Returns the indexes of `zones`, best first. `draw` returns random numbers in (0, 1].
 pub fn rank(zones: &[ZoneRoom], mut draw: impl FnMut() -> f64) -> Vec<usize> {
     let mut order: Vec<(bool, f64, usize)> = zones
         .iter()
         .enumerate()
         .map(|(index, zone)| {
             let first = zone.near && zone.has_clear_room();
-            // The least of exponential draws is each zone's with its part of the weight.
+            // Weighted sampling: a zone has the smallest of the exponential variates with a
+            // probability proportional to its weight.
             let arrival = -draw().ln() / zone.weight();
             (!first, arrival, index)
         })
