--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -7,20 +7,20 @@
 use brasswinch_types::{Millis, UpstreamRest};
 
 /// Number of consecutive connection failures after which an upstream is ejected.
-const EJECT_AFTER: u32 = 3;
+const EJECT_AFTER_FAILURES: u32 = 3;
 
 /// Duration of the first ejection. It doubles with each further failure.
-const FIRST_EJECTION_MS: Millis = 500;
+const MIN_EJECTION_MS: Millis = 500;
 
 /// Maximum duration of an ejection.
-const LONGEST_EJECTION_MS: Millis = 15_000;
+const MAX_EJECTION_MS: Millis = 15_000;
 
 /// Time over which an upstream warms up: from its first use, from its first use after an
 /// ejection, or from when the configuration stops marking it as leaving.
 const WARM_UP_MS: Millis = 5_000;
 
 /// Minimum time for which an explicit refusal closes an upstream.
-const REFUSAL_PAUSE_MS: Millis = 100;
+const MIN_REFUSAL_PAUSE_MS: Millis = 100;
 
 /// A report from an upstream about itself.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -36,12 +36,12 @@
 /// The state of one upstream at one box.
 #[derive(Clone, Debug, Default)]
 pub struct UpstreamHealth {
-    announced: bool,
+    config_leaving: bool,
     listed_leaving: bool,
     reported: Option<UpstreamReport>,
     failures: u32,
     closed_until: Millis,
-    warm_since: Option<Millis>,
+    warm_up_started_at: Option<Millis>,
     in_flight: u32,
 }
 
@@ -49,10 +49,10 @@
     /// Sets whether the configuration in force marks the upstream as leaving. Only the
     /// configuration can clear this; the upstream then warms up again.
     pub fn set_announced(&mut self, leaving: bool, now: Millis) {
-        if self.announced && !leaving {
-            self.warm_since = Some(now);
+        if self.config_leaving && !leaving {
+            self.warm_up_started_at = Some(now);
         }
-        self.announced = leaving;
+        self.config_leaving = leaving;
     }
 
     /// Sets whether the platform's list shows the upstream as leaving.
@@ -72,14 +72,14 @@
 
     /// Whether any source marks the upstream as leaving.
     pub fn is_leaving(&self) -> bool {
-        let says_so = self.reported.is_some_and(|report| report.leaving);
-        self.announced || self.listed_leaving || says_so
+        let reported_leaving = self.reported.is_some_and(|report| report.leaving);
+        self.config_leaving || self.listed_leaving || reported_leaving
     }
 
     /// Records that a request was sent.
     pub fn started(&mut self, now: Millis) {
         self.in_flight += 1;
-        self.warm_since.get_or_insert(now);
+        self.warm_up_started_at.get_or_insert(now);
     }
 
     /// Records that a request ended, successfully or not.
@@ -96,20 +96,20 @@
     /// or for the minimum if that is longer.
     pub fn refused(&mut self, rest: Option<UpstreamRest>, now: Millis) {
         let rest_ms = rest.map_or(0, UpstreamRest::ms);
-        let pause_ms = rest_ms.max(REFUSAL_PAUSE_MS);
+        let pause_ms = rest_ms.max(MIN_REFUSAL_PAUSE_MS);
         self.closed_until = self.closed_until.max(now + pause_ms);
     }
 
     /// Records a connection that failed or broke. Ejects the upstream after several in a row.
     pub fn failed(&mut self, now: Millis) {
         self.failures = self.failures.saturating_add(1);
-        if self.failures < EJECT_AFTER {
+        if self.failures < EJECT_AFTER_FAILURES {
             return;
         }
-        let doublings = (self.failures - EJECT_AFTER).min(5);
-        let ejection = (FIRST_EJECTION_MS << doublings).min(LONGEST_EJECTION_MS);
+        let doublings = (self.failures - EJECT_AFTER_FAILURES).min(5);
+        let ejection = (MIN_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
         self.closed_until = self.closed_until.max(now + ejection);
-        self.warm_since = None;
+        self.warm_up_started_at = None;
     }
 
     /// Returns the number of requests in flight from this box.
@@ -143,14 +143,14 @@
         if self.in_flight < ready || ready >= slots {
             return None;
         }
-        let since = self.warm_since.unwrap_or(now);
+        let since = self.warm_up_started_at.unwrap_or(now);
         let next_at = since + (WARM_UP_MS * u64::from(ready + 1)).div_ceil(u64::from(slots));
         Some(next_at.saturating_sub(now))
     }
 
     /// Returns the number of slots usable at the present stage of the warm-up.
     fn ready_slots(&self, slots: u32, now: Millis) -> u32 {
-        let Some(since) = self.warm_since else {
+        let Some(since) = self.warm_up_started_at else {
             return 1;
         };
         let warm_for = now.saturating_sub(since).min(WARM_UP_MS);
--- a/crates/decide/src/links.rs
+++ b/crates/decide/src/links.rs
@@ -32,18 +32,18 @@
         usable: impl Fn(&BoxId) -> bool,
     ) -> Vec<&'r BoxRecord> {
         let mut chosen = Vec::new();
-        let mut far: BTreeMap<&Zone, &BoxRecord> = BTreeMap::new();
+        let mut remote: BTreeMap<&Zone, &BoxRecord> = BTreeMap::new();
         for record in records.filter(|record| usable(&record.id)) {
             if &record.zone == self.zone {
                 chosen.push(record);
                 continue;
             }
-            let best = far.entry(&record.zone).or_insert(record);
+            let best = remote.entry(&record.zone).or_insert(record);
             if self.distance(record) < self.distance(best) {
                 *best = record;
             }
         }
-        let covered = far.into_iter().filter(|(zone, _)| self.covers(zone));
+        let covered = remote.into_iter().filter(|(zone, _)| self.covers(zone));
         chosen.extend(covered.map(|(_, record)| record));
         chosen
     }
@@ -66,10 +66,10 @@
 /// Whether `me` ranks among the first `count` of itself and `others`, by rendezvous hash
 /// with `task`.
 fn is_chosen(me: &BoxId, task: &Zone, others: &[BoxId], count: usize) -> bool {
-    let mine = score(task.as_str(), me.as_str());
+    let my_score = score(task.as_str(), me.as_str());
     let before_me = others
         .iter()
-        .filter(|other| score(task.as_str(), other.as_str()) < mine)
+        .filter(|other| score(task.as_str(), other.as_str()) < my_score)
         .count();
     before_me < count
 }
--- a/crates/decide/src/load_reports.rs
+++ b/crates/decide/src/load_reports.rs
@@ -9,11 +9,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A load is sent when its idle slots changed by at least 1/`WORTH_PART` of the total.
-const WORTH_PART: u32 = 8;
+/// A load is sent when its idle slots changed by at least 1/`MIN_CHANGE_DIVISOR` of the total.
+const MIN_CHANGE_DIVISOR: u32 = 8;
 
 /// Number of heartbeats from one full report to the next.
-const FULL_EVERY: u32 = 8;
+const FULL_REPORT_HEARTBEATS: u32 = 8;
 
 /// The load of one service at one box or in one zone. Serialized as a short array.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -56,11 +56,11 @@
 impl LoadReporter {
     /// Returns the loads to send with the next heartbeat and records them as sent.
     pub fn due(&mut self, loads: Vec<ServiceLoad>) -> Vec<ServiceLoad> {
-        let full = self.heartbeats.is_multiple_of(FULL_EVERY);
+        let full = self.heartbeats.is_multiple_of(FULL_REPORT_HEARTBEATS);
         self.heartbeats = self.heartbeats.wrapping_add(1);
         let due: Vec<ServiceLoad> = loads
             .into_iter()
-            .filter(|load| full || self.is_worth_sending(load))
+            .filter(|load| full || self.has_changed_enough(load))
             .collect();
         for load in &due {
             self.sent.insert(load.service, *load);
@@ -73,13 +73,13 @@
         self.heartbeats = 0;
     }
 
-    fn is_worth_sending(&self, load: &ServiceLoad) -> bool {
+    fn has_changed_enough(&self, load: &ServiceLoad) -> bool {
         let Some(sent) = self.sent.get(&load.service) else {
             return true;
         };
-        let worth = (load.total / WORTH_PART).max(1);
+        let min_change = (load.total / MIN_CHANGE_DIVISOR).max(1);
         sent.total != load.total
             || (sent.idle == 0) != (load.idle == 0)
-            || sent.idle.abs_diff(load.idle) >= worth
+            || sent.idle.abs_diff(load.idle) >= min_change
     }
 }
--- a/crates/decide/src/members.rs
+++ b/crates/decide/src/members.rs
@@ -57,7 +57,7 @@
 struct Member {
     record: BoxRecord,
     /// When the box counts as silent unless another heartbeat arrives; `None` if it does now.
-    heard_until: Option<Millis>,
+    alive_until: Option<Millis>,
     config_digest: u64,
     loads: BTreeMap<ServiceTag, ServiceLoad>,
 }
@@ -98,7 +98,7 @@
             Some(member) => {
                 if record.incarnation != member.record.incarnation {
                     member.loads.clear();
-                    member.heard_until = None;
+                    member.alive_until = None;
                 }
                 member.record = record;
                 RecordMerge::Newer
@@ -106,7 +106,7 @@
             None => {
                 let member = Member {
                     record,
-                    heard_until: None,
+                    alive_until: None,
                     config_digest: 0,
                     loads: BTreeMap::new(),
                 };
@@ -132,13 +132,13 @@
             return;
         }
         let until = now + interval_ms * SILENT_AFTER_INTERVALS;
-        member.heard_until = Some(member.heard_until.map_or(until, |held| held.max(until)));
+        member.alive_until = Some(member.alive_until.map_or(until, |held| held.max(until)));
     }
 
     /// Records that the link to `id` broke; it counts as silent until its next heartbeat.
     pub fn lost(&mut self, id: &BoxId) {
         if let Some(member) = self.members.get_mut(id) {
-            member.heard_until = None;
+            member.alive_until = None;
         }
     }
 
@@ -172,7 +172,7 @@
     pub fn is_heard(&self, id: &BoxId, now: Millis) -> bool {
         self.members
             .get(id)
-            .and_then(|member| member.heard_until)
+            .and_then(|member| member.alive_until)
             .is_some_and(|until| now < until)
     }
 
--- a/crates/decide/src/once.rs
+++ b/crates/decide/src/once.rs
@@ -62,10 +62,10 @@
         if &ticket.service != presented.service || !same_key {
             return Err(ErrorKind::TicketInvalid);
         }
-        if !self.is_for_me(ticket) {
+        if !self.is_for_this_box(ticket) {
             return Err(ErrorKind::TicketElsewhere);
         }
-        let wall_ms = self.advance(wall_ms);
+        let wall_ms = self.advance_clock(wall_ms);
         match self.used.get(&ticket.nonce) {
             Some(TicketState::MayHaveRun) => return Err(ErrorKind::AlreadySubmitted),
             Some(TicketState::Voided) => return Err(ErrorKind::TicketVoided),
@@ -74,7 +74,7 @@
         if wall_ms >= ticket.expires_ms {
             return Err(ErrorKind::TicketExpired);
         }
-        self.remember(ticket, TicketState::MayHaveRun);
+        self.record(ticket, TicketState::MayHaveRun);
         Ok(())
     }
 
@@ -89,17 +89,17 @@
 
     /// Voids a ticket for a peer. `Voided` means that it hasn't run and never will.
     pub fn void(&mut self, ticket: &Ticket, wall_ms: u64) -> TicketState {
-        if !self.is_for_me(ticket) {
+        if !self.is_for_this_box(ticket) {
             return TicketState::MayHaveRun;
         }
-        let wall_ms = self.advance(wall_ms);
+        let wall_ms = self.advance_clock(wall_ms);
         if let Some(state) = self.used.get(&ticket.nonce) {
             return *state;
         }
         if wall_ms >= ticket.expires_ms.saturating_add(CLOCK_MARGIN_MS) {
             return TicketState::MayHaveRun;
         }
-        self.remember(ticket, TicketState::Voided);
+        self.record(ticket, TicketState::Voided);
         TicketState::Voided
     }
 
@@ -113,27 +113,27 @@
         self.used.is_empty()
     }
 
-    fn is_for_me(&self, ticket: &Ticket) -> bool {
+    fn is_for_this_box(&self, ticket: &Ticket) -> bool {
         ticket.box_id == self.box_id && ticket.incarnation == self.incarnation
     }
 
-    fn remember(&mut self, ticket: &Ticket, state: TicketState) {
+    fn record(&mut self, ticket: &Ticket, state: TicketState) {
         self.used.insert(ticket.nonce, state);
-        let forget_at = ticket.expires_ms.saturating_add(CLOCK_MARGIN_MS);
-        self.expiries.insert((forget_at, ticket.nonce));
+        let remove_at = ticket.expires_ms.saturating_add(CLOCK_MARGIN_MS);
+        self.expiries.insert((remove_at, ticket.nonce));
     }
 
     /// Advances the wall clock, removes expired tickets and returns the time to use. The time
     /// never goes back, because a removed ticket could then seem unexpired and run again.
-    fn advance(&mut self, wall_ms: u64) -> u64 {
+    fn advance_clock(&mut self, wall_ms: u64) -> u64 {
         self.latest_wall_ms = self.latest_wall_ms.max(wall_ms);
-        self.forget_expired(self.latest_wall_ms);
+        self.remove_expired(self.latest_wall_ms);
         self.latest_wall_ms
     }
 
-    fn forget_expired(&mut self, wall_ms: u64) {
-        while let Some((forget_at, nonce)) = self.expiries.first().copied() {
-            if forget_at > wall_ms {
+    fn remove_expired(&mut self, wall_ms: u64) {
+        while let Some((remove_at, nonce)) = self.expiries.first().copied() {
+            if remove_at > wall_ms {
                 return;
             }
             self.expiries.pop_first();
--- a/crates/decide/src/regions.rs
+++ b/crates/decide/src/regions.rs
@@ -10,19 +10,19 @@
 use std::collections::BTreeMap;
 
 /// Idle fraction of a region's load below which it counts as full.
-const FULL_BELOW: f64 = 0.05;
+const FULL_IDLE_FRACTION: f64 = 0.05;
 
 /// Idle fraction of a region's load above which its factor rises again.
-const EASY_ABOVE: f64 = 0.15;
+const RECOVERED_IDLE_FRACTION: f64 = 0.15;
 
 /// Decrease of a full region's factor per second.
-const FALL_PER_SECOND: f64 = 0.25;
+const DECREASE_PER_S: f64 = 0.25;
 
 /// Increase of a region's factor per second while it has idle capacity.
-const RISE_PER_SECOND: f64 = 0.05;
+const INCREASE_PER_S: f64 = 0.05;
 
 /// Lower bound of the factor of a region that isn't down.
-const LEAST_FACTOR: f64 = 0.1;
+const MIN_FACTOR: f64 = 0.1;
 
 /// Longest time between two reports that one step accounts for.
 const MAX_STEP_MS: Millis = 2_000;
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Factor {
     value: f64,
-    at: Millis,
+    updated_at: Millis,
 }
 
 impl RegionFactors {
@@ -55,20 +55,20 @@
     pub fn observe(&mut self, region: &Region, report: RegionReport, now: Millis) {
         let factor = self.factors.entry(region.clone()).or_insert(Factor {
             value: 1.0,
-            at: now,
+            updated_at: now,
         });
-        let seconds = now.saturating_sub(factor.at).min(MAX_STEP_MS) as f64 / 1_000.0;
-        factor.at = now;
+        let seconds = now.saturating_sub(factor.updated_at).min(MAX_STEP_MS) as f64 / 1_000.0;
+        factor.updated_at = now;
         factor.value = match report {
             RegionReport::Down => 0.0,
-            RegionReport::Unmeasured => factor.value.max(LEAST_FACTOR),
-            RegionReport::Idle(idle) if idle < FULL_BELOW => {
-                (factor.value - FALL_PER_SECOND * seconds).max(LEAST_FACTOR)
+            RegionReport::Unmeasured => factor.value.max(MIN_FACTOR),
+            RegionReport::Idle(idle) if idle < FULL_IDLE_FRACTION => {
+                (factor.value - DECREASE_PER_S * seconds).max(MIN_FACTOR)
             }
-            RegionReport::Idle(idle) if idle > EASY_ABOVE => {
-                (factor.value + RISE_PER_SECOND * seconds).clamp(LEAST_FACTOR, 1.0)
+            RegionReport::Idle(idle) if idle > RECOVERED_IDLE_FRACTION => {
+                (factor.value + INCREASE_PER_S * seconds).clamp(MIN_FACTOR, 1.0)
             }
-            RegionReport::Idle(_) => factor.value.max(LEAST_FACTOR),
+            RegionReport::Idle(_) => factor.value.max(MIN_FACTOR),
         };
     }
 
--- a/crates/decide/src/retry_budget.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -5,35 +5,35 @@
 //! that fraction to the load.
 
 /// Retries earned by one first attempt.
-const EARNED_PER_TRY: f64 = 0.1;
+const RETRIES_PER_ATTEMPT: f64 = 0.1;
 
 /// Maximum number of retries that can accumulate.
-const MAX_SAVED: f64 = 10.0;
+const MAX_RETRIES: f64 = 10.0;
 
 /// The retry budget of one service on one box.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    saved: f64,
+    balance: f64,
 }
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { saved: MAX_SAVED }
+        Self { balance: MAX_RETRIES }
     }
 }
 
 impl RetryBudget {
     /// Credits the budget for a first attempt.
     pub fn earn(&mut self) {
-        self.saved = (self.saved + EARNED_PER_TRY).min(MAX_SAVED);
+        self.balance = (self.balance + RETRIES_PER_ATTEMPT).min(MAX_RETRIES);
     }
 
     /// Spends one retry. Returns false if less than one is left.
     pub fn spend(&mut self) -> bool {
-        if self.saved < 1.0 {
+        if self.balance < 1.0 {
             return false;
         }
-        self.saved -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
--- a/crates/decide/src/selector.rs
+++ b/crates/decide/src/selector.rs
@@ -22,7 +22,7 @@
         for (region, share) in shares {
             let credit = self.credits.entry(region.clone()).or_insert(0.0);
             *credit += share;
-            if best.is_none_or(|(_, most)| *credit > most) {
+            if best.is_none_or(|(_, highest)| *credit > highest) {
                 best = Some((region, *credit));
             }
         }
--- a/crates/decide/src/shift.rs
+++ b/crates/decide/src/shift.rs
@@ -55,8 +55,8 @@
         }
         let window = (cap.window_ms + cached_ms).max(1);
         let allowed = cap.fraction * elapsed as f64 / window as f64;
-        let part = (allowed / distance).min(1.0);
-        self.shares = blend(&self.shares, target, part);
+        let fraction = (allowed / distance).min(1.0);
+        self.shares = blend(&self.shares, target, fraction);
     }
 }
 
@@ -74,13 +74,14 @@
     sum / 2.0
 }
 
-/// Interpolates linearly between `from` and `to`; `part` is the fraction of the way.
-fn blend(from: &Shares, to: &Shares, part: f64) -> Shares {
+/// Interpolates linearly between `from` and `to`; `fraction` is the position between
+/// them, from 0 to 1.
+fn blend(from: &Shares, to: &Shares, fraction: f64) -> Shares {
     let mut blended = Shares::new();
     for region in from.keys().chain(to.keys()) {
         let a = from.get(region).copied().unwrap_or(0.0);
         let b = to.get(region).copied().unwrap_or(0.0);
-        let share = a + (b - a) * part;
+        let share = a + (b - a) * fraction;
         if share > EPSILON {
             blended.insert(region.clone(), share);
         }
--- a/crates/decide/src/slots.rs
+++ b/crates/decide/src/slots.rs
@@ -31,7 +31,7 @@
 
 impl LoanTerms {
     /// Returns the time after the grant when no work on the loan can be running any more.
-    pub fn longest_use_ms(&self) -> Millis {
+    pub fn max_use_ms(&self) -> Millis {
         self.term_ms + self.max_run_ms + self.margin_ms
     }
 }
@@ -84,32 +84,32 @@
     pub lent: u32,
 }
 
-/// This box's right to use a slot.
+/// Who owns a slot, and whether this box may use it.
 #[derive(Clone, Debug, PartialEq)]
-enum Right {
-    /// Not usable here; as far as known, another box owns the slot.
-    None,
+enum Ownership {
+    /// As far as known, another box owns the slot; this box can't use it.
+    Other,
     /// This box owns the slot.
     Own,
     /// This box owns the slot, but a previous owner may still have work or a loan on it.
     HeldBack { until: Millis },
     /// This box owns the slot and has lent it to another.
-    Lent {
+    Loaned {
         borrower: BoxId,
         id: LoanId,
-        back_at: Millis,
+        reclaim_at: Millis,
     },
     /// Another box owns the slot and has lent it to this one.
     Borrowed {
         lender: BoxId,
         id: LoanId,
-        use_before: Millis,
+        start_before: Millis,
     },
 }
 
 #[derive(Clone, Debug)]
 struct Slot {
-    right: Right,
+    ownership: Ownership,
     busy: bool,
 }
 
@@ -120,9 +120,9 @@
     load: u32,
     terms: LoanTerms,
     slots: Vec<Slot>,
-    next_loan: u64,
+    next_loan_id: u64,
     /// The last loan received from each lender.
-    last_taken: BTreeMap<BoxId, LoanId>,
+    last_received: BTreeMap<BoxId, LoanId>,
 }
 
 impl SlotPool {
@@ -134,8 +134,8 @@
             load: 0,
             terms,
             slots: Vec::new(),
-            next_loan: first_loan,
-            last_taken: BTreeMap::new(),
+            next_loan_id: first_loan,
+            last_received: BTreeMap::new(),
         }
     }
 
@@ -158,7 +158,7 @@
             self.slots.resize(
                 wanted,
                 Slot {
-                    right: Right::None,
+                    ownership: Ownership::Other,
                     busy: false,
                 },
             );
@@ -183,19 +183,19 @@
     ///
     /// Own slots are preferred to borrowed ones of equal cost.
     pub fn admit(&mut self, now: Millis, cost: impl Fn(u32) -> Option<u32>) -> Option<SlotGrant> {
-        self.settle(now);
+        self.expire(now);
         let best = (0..self.load.min(self.slots.len() as u32))
             .filter(|slot| self.can_start(*slot, now))
             .filter_map(|slot| {
-                let borrowed = matches!(self.slots[slot as usize].right, Right::Borrowed { .. });
+                let borrowed = matches!(self.slots[slot as usize].ownership, Ownership::Borrowed { .. });
                 cost(slot).map(|cost| (cost, borrowed, slot))
             })
             .min()?;
         let (_, _, slot) = best;
         let entry = &mut self.slots[slot as usize];
         entry.busy = true;
-        let send_before = match entry.right {
-            Right::Borrowed { use_before, .. } => Some(use_before),
+        let send_before = match entry.ownership {
+            Ownership::Borrowed { start_before, .. } => Some(start_before),
             _ => None,
         };
         Some(SlotGrant { slot, send_before })
@@ -206,8 +206,8 @@
     pub fn finish(&mut self, slot: u32, now: Millis) -> Option<Returned> {
         let entry = self.slots.get_mut(slot as usize)?;
         entry.busy = false;
-        match entry.right {
-            Right::Borrowed { use_before, .. } if now >= use_before => self.give_back(slot),
+        match entry.ownership {
+            Ownership::Borrowed { start_before, .. } if now >= start_before => self.end_loan(slot),
             _ => None,
         }
     }
@@ -215,27 +215,27 @@
     /// Lends up to `want` idle own slots to `borrower`, at most half of the idle ones
     /// (rounded up), so that some are left for a local burst.
     pub fn lend(&mut self, borrower: &BoxId, want: u32, now: Millis) -> Vec<Loan> {
-        self.settle(now);
+        self.expire(now);
         let idle: Vec<u32> = (0..self.load.min(self.slots.len() as u32))
-            .filter(|slot| self.is_idle_own(*slot))
+            .filter(|slot| self.is_idle_owned(*slot))
             .collect();
-        let most = idle.len().div_ceil(2).min(want as usize);
-        let back_at = now + self.terms.longest_use_ms();
-        let mut loans = Vec::with_capacity(most);
-        for slot in idle.into_iter().rev().take(most) {
-            let id = LoanId(self.next_loan);
-            self.next_loan += 1;
-            self.slots[slot as usize].right = Right::Lent {
+        let limit = idle.len().div_ceil(2).min(want as usize);
+        let reclaim_at = now + self.terms.max_use_ms();
+        let mut loans = Vec::with_capacity(limit);
+        for slot in idle.into_iter().rev().take(limit) {
+            let id = LoanId(self.next_loan_id);
+            self.next_loan_id += 1;
+            self.slots[slot as usize].ownership = Ownership::Loaned {
                 borrower: borrower.clone(),
                 id,
-                back_at,
+                reclaim_at,
             };
             loans.push(Loan { slot, id });
         }
         loans
     }
 
-    /// Accepts loans that were requested at `asked_at`; returns those that can't be used.
+    /// Accepts loans that were requested at `requested_at`; returns those that can't be used.
     ///
     /// A lender's loan ids increase. A loan that isn't newer than the last one received
     /// before this call is a duplicate or out of order. It is dropped without being
@@ -244,20 +244,20 @@
         &mut self,
         lender: &BoxId,
         loans: &[Loan],
-        asked_at: Millis,
+        requested_at: Millis,
         now: Millis,
     ) -> Vec<Returned> {
-        let use_before = asked_at + self.terms.term_ms;
+        let start_before = requested_at + self.terms.term_ms;
         let mut refused = Vec::new();
-        let last = self.last_taken.get(lender).copied();
+        let last = self.last_received.get(lender).copied();
         let newer = |loan: &&Loan| last.is_none_or(|last| loan.id > last);
         for loan in loans.iter().filter(newer) {
-            self.last_taken.insert(lender.clone(), loan.id);
-            let usable = now < use_before
+            self.last_received.insert(lender.clone(), loan.id);
+            let usable = now < start_before
                 && self
                     .slots
                     .get(loan.slot as usize)
-                    .is_some_and(|entry| entry.right == Right::None && !entry.busy);
+                    .is_some_and(|entry| entry.ownership == Ownership::Other && !entry.busy);
             if !usable {
                 refused.push(Returned {
                     lender: lender.clone(),
@@ -265,10 +265,10 @@
                 });
                 continue;
             }
-            self.slots[loan.slot as usize].right = Right::Borrowed {
+            self.slots[loan.slot as usize].ownership = Ownership::Borrowed {
                 lender: lender.clone(),
                 id: loan.id,
-                use_before,
+                start_before,
             };
         }
         refused
@@ -280,13 +280,13 @@
         let Some(entry) = self.slots.get_mut(loan.slot as usize) else {
             return false;
         };
-        match &entry.right {
-            Right::Lent {
+        match &entry.ownership {
+            Ownership::Loaned {
                 borrower: held_by,
                 id,
                 ..
             } if held_by == borrower && *id == loan.id => {
-                entry.right = Right::Own;
+                entry.ownership = Ownership::Own;
                 true
             }
             _ => false,
@@ -299,13 +299,13 @@
         let mut returned = Vec::new();
         for slot in 0..self.slots.len() as u32 {
             let entry = &self.slots[slot as usize];
-            let Right::Borrowed { use_before, .. } = entry.right else {
+            let Ownership::Borrowed { start_before, .. } = entry.ownership else {
                 continue;
             };
-            if entry.busy || (keep && now < use_before) {
+            if entry.busy || (keep && now < start_before) {
                 continue;
             }
-            returned.extend(self.give_back(slot));
+            returned.extend(self.end_loan(slot));
         }
         returned
     }
@@ -316,18 +316,18 @@
         let mut returned = Vec::new();
         for slot in 0..self.slots.len() as u32 {
             let entry = &mut self.slots[slot as usize];
-            let Right::Borrowed {
-                lender, use_before, ..
-            } = &mut entry.right
+            let Ownership::Borrowed {
+                lender, start_before, ..
+            } = &mut entry.ownership
             else {
                 continue;
             };
             if lender != leaving {
                 continue;
             }
-            *use_before = 0;
+            *start_before = 0;
             if !entry.busy {
-                returned.extend(self.give_back(slot));
+                returned.extend(self.end_loan(slot));
             }
         }
         returned
@@ -340,7 +340,7 @@
     pub fn in_use_from(&mut self, lender: &BoxId) -> Vec<u32> {
         let mut in_use = Vec::new();
         for (index, entry) in self.slots.iter_mut().enumerate() {
-            let Right::Borrowed { lender: from, .. } = &entry.right else {
+            let Ownership::Borrowed { lender: from, .. } = &entry.ownership else {
                 continue;
             };
             if from != lender {
@@ -349,7 +349,7 @@
             if entry.busy {
                 in_use.push(index as u32);
             } else {
-                entry.right = Right::None;
+                entry.ownership = Ownership::Other;
             }
         }
         in_use
@@ -358,9 +358,9 @@
     /// Releases every held-back slot except those that peers reported as `in_use`.
     pub fn release_held_back(&mut self, in_use: &[u32]) {
         for (index, entry) in self.slots.iter_mut().enumerate() {
-            let held_back = matches!(entry.right, Right::HeldBack { .. });
+            let held_back = matches!(entry.ownership, Ownership::HeldBack { .. });
             if held_back && !in_use.contains(&(index as u32)) {
-                entry.right = Right::Own;
+                entry.ownership = Ownership::Own;
             }
         }
     }
@@ -371,7 +371,7 @@
             .iter()
             .enumerate()
             .filter(|(index, _)| unit_of_slot(*index as u32) == unit)
-            .all(|(_, entry)| !entry.busy && !matches!(entry.right, Right::Lent { .. }))
+            .all(|(_, entry)| !entry.busy && !matches!(entry.ownership, Ownership::Loaned { .. }))
     }
 
     /// Counts the slots by ownership and use.
@@ -384,22 +384,22 @@
                 continue;
             }
             counts.idle += u32::from(self.can_start(slot, now));
-            match entry.right {
-                Right::Own | Right::HeldBack { .. } => counts.held += 1,
-                Right::Borrowed { .. } => counts.borrowed += 1,
-                Right::Lent { .. } => counts.lent += 1,
-                Right::None => {}
+            match entry.ownership {
+                Ownership::Own | Ownership::HeldBack { .. } => counts.held += 1,
+                Ownership::Borrowed { .. } => counts.borrowed += 1,
+                Ownership::Loaned { .. } => counts.lent += 1,
+                Ownership::Other => {}
             }
         }
         counts
     }
 
     /// Makes own slots usable again after their loan or hold-back time has expired.
-    fn settle(&mut self, now: Millis) {
+    fn expire(&mut self, now: Millis) {
         for entry in &mut self.slots {
-            match entry.right {
-                Right::Lent { back_at, .. } if now >= back_at => entry.right = Right::Own,
-                Right::HeldBack { until } if now >= until => entry.right = Right::Own,
+            match entry.ownership {
+                Ownership::Loaned { reclaim_at, .. } if now >= reclaim_at => entry.ownership = Ownership::Own,
+                Ownership::HeldBack { until } if now >= until => entry.ownership = Ownership::Own,
                 _ => {}
             }
         }
@@ -411,30 +411,30 @@
         if entry.busy {
             return false;
         }
-        match entry.right {
-            Right::Own => true,
-            Right::Borrowed { use_before, .. } => now < use_before,
-            Right::HeldBack { until } => now >= until,
-            Right::Lent { back_at, .. } => now >= back_at,
-            Right::None => false,
+        match entry.ownership {
+            Ownership::Own => true,
+            Ownership::Borrowed { start_before, .. } => now < start_before,
+            Ownership::HeldBack { until } => now >= until,
+            Ownership::Loaned { reclaim_at, .. } => now >= reclaim_at,
+            Ownership::Other => false,
         }
     }
 
-    fn is_idle_own(&self, slot: u32) -> bool {
+    fn is_idle_owned(&self, slot: u32) -> bool {
         let entry = &self.slots[slot as usize];
-        !entry.busy && entry.right == Right::Own
+        !entry.busy && entry.ownership == Ownership::Own
     }
 
-    fn give_back(&mut self, slot: u32) -> Option<Returned> {
+    fn end_loan(&mut self, slot: u32) -> Option<Returned> {
         let entry = self.slots.get_mut(slot as usize)?;
-        let Right::Borrowed { lender, id, .. } = &entry.right else {
+        let Ownership::Borrowed { lender, id, .. } = &entry.ownership else {
             return None;
         };
         let returned = Returned {
             lender: lender.clone(),
             loan: Loan { slot, id: *id },
         };
-        entry.right = Right::None;
+        entry.ownership = Ownership::Other;
         Some(returned)
     }
 
@@ -443,8 +443,8 @@
             return;
         }
         let entry = &mut self.slots[slot as usize];
-        if !matches!(entry.right, Right::Borrowed { .. }) {
-            entry.right = Right::None;
+        if !matches!(entry.ownership, Ownership::Borrowed { .. }) {
+            entry.ownership = Ownership::Other;
         }
     }
 
@@ -452,15 +452,15 @@
         if !table.owns_slot(&self.me, slot) {
             return;
         }
-        let longest_use_ms = self.terms.longest_use_ms();
+        let max_use_ms = self.terms.max_use_ms();
         let entry = &mut self.slots[slot as usize];
-        if entry.right != Right::None {
+        if entry.ownership != Ownership::Other {
             return;
         }
-        entry.right = match hold_back {
-            HoldBack::No => Right::Own,
-            HoldBack::LongestUse => Right::HeldBack {
-                until: now + longest_use_ms,
+        entry.ownership = match hold_back {
+            HoldBack::No => Ownership::Own,
+            HoldBack::LongestUse => Ownership::HeldBack {
+                until: now + max_use_ms,
             },
         };
     }
--- a/crates/decide/src/unit_claims.rs
+++ b/crates/decide/src/unit_claims.rs
@@ -69,18 +69,18 @@
     gone: impl Fn(&BoxId) -> bool,
 ) -> Option<Claim> {
     let share = UNITS.div_ceil(boxes.max(1));
-    let mut room = share.saturating_sub(table.count_of(me));
+    let mut remaining = share.saturating_sub(table.count_of(me));
     let mut next = table.clone();
     let mut taken_over = Vec::new();
     for (unit, owner) in next.owners.iter_mut().enumerate() {
-        if room == 0 {
+        if remaining == 0 {
             break;
         }
-        let takes = match owner {
+        let claimable = match owner {
             None => true,
             Some(owner) => owner.box_id != *me && gone(&owner.box_id),
         };
-        if !takes {
+        if !claimable {
             continue;
         }
         if owner.is_some() {
@@ -90,7 +90,7 @@
             box_id: me.clone(),
             incarnation,
         });
-        room -= 1;
+        remaining -= 1;
     }
     if next == *table {
         return None;
@@ -103,20 +103,20 @@
 }
 
 /// Returns the units above its share that `me` should give up, so that boxes below their
-/// share can claim them. `quiet` tells which units can be given up now.
+/// share can claim them. `is_unused` tells which units can be given up now.
 pub fn surplus(
     table: &UnitTable,
     me: &BoxId,
     boxes: usize,
-    quiet: impl Fn(usize) -> bool,
+    is_unused: impl Fn(usize) -> bool,
 ) -> Vec<usize> {
     let share = UNITS.div_ceil(boxes.max(1));
-    let extra = table.count_of(me).saturating_sub(share);
+    let excess = table.count_of(me).saturating_sub(share);
     owned(table, me)
         .into_iter()
         .rev()
-        .filter(|unit| quiet(*unit))
-        .take(extra)
+        .filter(|unit| is_unused(*unit))
+        .take(excess)
         .collect()
 }
 
--- a/crates/decide/src/zone_rank.rs
+++ b/crates/decide/src/zone_rank.rs
@@ -16,18 +16,18 @@
     pub total: u32,
 }
 
-/// A zone has spare capacity while more than 1/`CLEAR_ROOM_PART` of its slots are idle.
-const CLEAR_ROOM_PART: u32 = 4;
+/// A zone has spare capacity while more than 1/`SPARE_CAPACITY_DIVISOR` of its slots are idle.
+const SPARE_CAPACITY_DIVISOR: u32 = 4;
 
 impl ZoneRoom {
-    fn has_clear_room(&self) -> bool {
-        self.idle * CLEAR_ROOM_PART > self.total
+    fn has_spare_capacity(&self) -> bool {
+        self.idle * SPARE_CAPACITY_DIVISOR > self.total
     }
 
     /// Returns the zone's weight in the draw. A zone reported as full keeps some weight,
     /// because the report may be outdated.
     fn weight(&self) -> f64 {
-        f64::from(self.idle) + f64::from(self.total) / f64::from(CLEAR_ROOM_PART) + 1.0
+        f64::from(self.idle) + f64::from(self.total) / f64::from(SPARE_CAPACITY_DIVISOR) + 1.0
     }
 }
 
@@ -37,11 +37,11 @@
         .iter()
         .enumerate()
         .map(|(index, zone)| {
-            let first = zone.near && zone.has_clear_room();
+            let first = zone.near && zone.has_spare_capacity();
             // Weighted sampling: a zone has the smallest of the exponential variates with a
             // probability proportional to its weight.
-            let arrival = -draw().ln() / zone.weight();
-            (!first, arrival, index)
+            let variate = -draw().ln() / zone.weight();
+            (!first, variate, index)
         })
         .collect();
     order.sort_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
--- a/crates/decide/tests/config_keeper.rs
+++ b/crates/decide/tests/config_keeper.rs
@@ -1,5 +1,5 @@
-//! Entries that arrive late, twice and in any order lead every daemon to the same set,
-//! and none ever goes back.
+//! Entries that arrive late, duplicated or out of order lead to the same set on every
+//! daemon, and no entry is replaced by an older one.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_decide::config_keeper::{ConfigKeeper, Merge};
@@ -20,8 +20,8 @@
     }
 }
 
-/// The same cases in every run.
-fn same_every_time() -> ProptestConfig {
+/// Generates the same cases in every run.
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         cases: 500,
         rng_seed: RngSeed::Fixed(8),
@@ -31,7 +31,7 @@
 }
 
 proptest! {
-    #![proptest_config(same_every_time())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
     fn any_order_leads_to_the_same_entries_and_none_goes_back(
--- a/crates/decide/tests/once.rs
+++ b/crates/decide/tests/once.rs
@@ -1,5 +1,5 @@
-//! A ticket runs at most once: every order of presenting, voiding, releasing, and every
-//! clock.
+//! A ticket runs at most once, in every order of presenting and voiding and with clocks
+//! that go forwards and backwards.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_decide::once::{CLOCK_MARGIN_MS, Presented, TicketLedger, TicketState};
@@ -35,8 +35,9 @@
     ledger.admit(ticket, presented, wall_ms)
 }
 
-/// All sequences of five of: present, void, present after expiry, with clocks that go
-/// both ways. At most one present succeeds, and none after a void that said `Voided`.
+/// Checks all sequences of five events: presenting and voiding, before and after the expiry,
+/// with a clock that goes forwards and backwards. At most one presentation succeeds, and none
+/// in a sequence with a void that returned `Voided`.
 #[test]
 fn in_every_order_of_events_a_ticket_runs_at_most_once() {
     const EVENTS: usize = 5;
@@ -80,7 +81,7 @@
 }
 
 #[test]
-fn a_ticket_is_good_for_its_service_and_key_only() {
+fn a_ticket_is_valid_for_its_service_and_key_only() {
     let mut ledger = ledger(5);
     let other = ServiceKey::new("kavach", "rate-desk");
     let wrong_service = Presented {
@@ -103,7 +104,7 @@
 }
 
 #[test]
-fn a_ticket_given_back_unused_can_be_presented_again() {
+fn a_ticket_released_unused_can_be_presented_again() {
     let mut ledger = ledger(5);
     assert_eq!(admit(&mut ledger, &ticket(1), 1_000), Ok(()));
     ledger.release(&ticket(1));
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn the_ledger_forgets_tickets_that_can_no_longer_be_presented() {
+fn the_ledger_removes_tickets_that_can_no_longer_be_presented() {
     let mut ledger = ledger(5);
     for nonce in 0..100 {
         assert_eq!(admit(&mut ledger, &ticket(nonce), 1_000), Ok(()));
--- a/crates/decide/tests/places.rs
+++ b/crates/decide/tests/places.rs
@@ -26,15 +26,15 @@
 #[test]
 fn the_longest_block_decides_and_an_unknown_address_has_none() {
     let mut blocks = BlockTable::default();
-    let (near, far, six) = (Zone::new("near"), Zone::new("far"), Zone::new("six"));
-    blocks.insert("10.0.0.0/8".parse().unwrap(), &far);
-    blocks.insert("10.1.2.0/24".parse().unwrap(), &near);
-    blocks.insert("2001:db8::/32".parse().unwrap(), &six);
+    let (narrow, wide, ipv6) = (Zone::new("near"), Zone::new("far"), Zone::new("six"));
+    blocks.insert("10.0.0.0/8".parse().unwrap(), &wide);
+    blocks.insert("10.1.2.0/24".parse().unwrap(), &narrow);
+    blocks.insert("2001:db8::/32".parse().unwrap(), &ipv6);
     let zone = |text: &str| blocks.zone_of(text.parse().unwrap());
-    assert_eq!(zone("10.1.2.3"), Some(&near));
-    assert_eq!(zone("10.1.3.3"), Some(&far));
-    assert_eq!(zone("::ffff:10.1.2.3"), Some(&near));
-    assert_eq!(zone("2001:db8::1"), Some(&six));
+    assert_eq!(zone("10.1.2.3"), Some(&narrow));
+    assert_eq!(zone("10.1.3.3"), Some(&wide));
+    assert_eq!(zone("::ffff:10.1.2.3"), Some(&narrow));
+    assert_eq!(zone("2001:db8::1"), Some(&ipv6));
     assert_eq!(zone("192.0.2.1"), None);
     assert_eq!(blocks.len(), 3);
 }
@@ -56,40 +56,40 @@
 fn a_box_links_to_its_whole_zone_and_a_zone_covers_every_other() {
     const ZONES: usize = 96;
     const BOXES: usize = 40;
-    const COVER: usize = 2;
+    const LINKS_PER_ZONE: usize = 2;
     let records: Vec<BoxRecord> = (0..ZONES)
         .flat_map(|zone| (0..BOXES).map(move |index| record(zone, index, 1, 1)))
         .collect();
     let zone = Zone::new("zone-0");
     let own: Vec<BoxId> = records.iter().take(BOXES).map(|r| r.id.clone()).collect();
     let mut covered: BTreeMap<Zone, usize> = BTreeMap::new();
-    let mut most_far = 0;
+    let mut max_remote = 0;
     for me in &own {
         let neighbours: Vec<BoxId> = own.iter().filter(|id| *id != me).cloned().collect();
         let choice = LinkChoice {
             me,
             zone: &zone,
             neighbours: &neighbours,
-            links_per_zone: COVER,
+            links_per_zone: LINKS_PER_ZONE,
         };
         let others = || records.iter().filter(|record| record.id != *me);
         let links = choice.desired(others(), |_| true);
-        let far: Vec<_> = links.iter().filter(|r| r.zone != zone).collect();
-        assert_eq!(links.len() - far.len(), BOXES - 1);
-        most_far = most_far.max(far.len());
-        for link in &far {
+        let remote: Vec<_> = links.iter().filter(|r| r.zone != zone).collect();
+        assert_eq!(links.len() - remote.len(), BOXES - 1);
+        max_remote = max_remote.max(remote.len());
+        for link in &remote {
             *covered.entry(link.zone.clone()).or_default() += 1;
         }
         // A box that can't be reached is replaced by another of its zone.
-        if let Some(lost) = far.first().map(|record| record.id.clone()) {
+        if let Some(lost) = remote.first().map(|record| record.id.clone()) {
             let relinked = choice.desired(others(), |id| *id != lost);
             assert_eq!(relinked.len(), links.len());
             assert!(relinked.iter().all(|record| record.id != lost));
         }
     }
     assert_eq!(covered.len(), ZONES - 1);
-    assert!(covered.values().all(|boxes| *boxes == COVER));
-    assert!(most_far <= 12, "{most_far} far links, 4.75 on average");
+    assert!(covered.values().all(|boxes| *boxes == LINKS_PER_ZONE));
+    assert!(max_remote <= 12, "{max_remote} links to other zones, 4.75 on average");
 }
 
 #[test]
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn records_order_themselves_by_run_and_sequence() {
+fn records_are_ordered_by_incarnation_and_sequence() {
     let mut members = Members::new(BoxId::new("me"));
     assert_eq!(members.merge(record(1, 1, 5, 2)), RecordMerge::Newer);
     assert_eq!(members.merge(record(1, 1, 5, 2)), RecordMerge::Known);
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn a_box_is_heard_for_a_few_heartbeats_and_only_in_its_present_run() {
+fn a_box_is_alive_for_a_few_heartbeats_and_only_in_its_present_incarnation() {
     let mut members = Members::new(BoxId::new("me"));
     members.merge(record(1, 1, 5, 1));
     let id = BoxId::new("box-1-1");
@@ -142,7 +142,7 @@
     members.merge(record(1, 1, 6, 1));
     assert!(
         !members.is_heard(&id, 1_500),
-        "the new run has not been heard"
+        "no heartbeat of the new incarnation has arrived"
     );
 }
 
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn an_announced_upstream_stays_closed_whatever_it_says_itself() {
+fn an_upstream_marked_leaving_by_the_configuration_stays_closed_whatever_it_reports() {
     let mut health = UpstreamHealth::default();
     health.set_announced(true, 0);
     health.report(report(9, false));
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn an_upstream_that_fails_is_left_alone_longer_each_time() {
+fn an_upstream_that_fails_is_ejected_for_longer_each_time() {
     let mut health = UpstreamHealth::default();
     health.failed(0);
     health.failed(0);
@@ -223,25 +223,25 @@
 }
 
 #[test]
-fn reports_that_lie_only_order_upstreams_and_never_raise_the_own_limit() {
-    let mut liar = UpstreamHealth::default();
-    liar.report(UpstreamReport {
+fn false_reports_only_order_upstreams_and_never_raise_the_local_limit() {
+    let mut health = UpstreamHealth::default();
+    health.report(UpstreamReport {
         sequence: 1,
         leaving: false,
         in_use: 0,
     });
     for at in [0, 10_000, 10_000, 10_000] {
-        liar.started(at);
+        health.started(at);
     }
     assert_eq!(
-        liar.cost(4, 20_000),
+        health.cost(4, 20_000),
         None,
-        "four of four are in flight from here"
+        "all four slots have requests in flight from this box"
     );
 }
 
 #[test]
-fn retries_stay_a_small_part_of_the_tries() {
+fn retries_stay_a_small_fraction_of_the_first_attempts() {
     let mut budget = RetryBudget::default();
     let mut retries = 0;
     for _ in 0..1_000 {
@@ -252,12 +252,12 @@
     }
     assert!(
         (100..=111).contains(&retries),
-        "{retries} retries of 1,000 tries"
+        "{retries} retries for 1,000 first attempts"
     );
 }
 
 #[test]
-fn loads_are_reported_when_they_changed_enough_and_all_of_them_now_and_then() {
+fn loads_are_reported_when_they_changed_enough_and_all_of_them_periodically() {
     use brasswinch_decide::load_reports::{LoadReporter, ServiceLoad};
     let load = |service: u64, idle: u32| ServiceLoad {
         service: brasswinch_types::ServiceTag(service),
@@ -268,7 +268,7 @@
     assert_eq!(
         reporter.due(vec![load(1, 20), load(2, 5)]).len(),
         2,
-        "the first is full"
+        "the first report is full"
     );
     assert_eq!(reporter.due(vec![load(1, 16), load(2, 5)]), []);
     assert_eq!(reporter.due(vec![load(1, 15), load(2, 5)]), [load(1, 15)]);
@@ -297,23 +297,23 @@
             .wrapping_add(1);
         ((state >> 33) + 1) as f64 / (1_u64 << 31) as f64
     };
-    let mut firsts = |zones: &[ZoneRoom]| {
+    let mut count_firsts = |zones: &[ZoneRoom]| {
         let mut counts = vec![0; zones.len()];
         for _ in 0..10_000 {
             counts[rank(zones, &mut draw)[0]] += 1;
         }
         counts
     };
-    let full = firsts(&[zone(true, 0), zone(false, 0)]);
+    let full = count_firsts(&[zone(true, 0), zone(false, 0)]);
     assert!(
         full.iter().all(|count| (4_500..5_500).contains(count)),
         "{full:?}"
     );
-    assert_eq!(firsts(&[zone(true, 3), zone(false, 8)]), [10_000, 0]);
-    let fuller = firsts(&[zone(false, 0), zone(false, 6)]);
+    assert_eq!(count_firsts(&[zone(true, 3), zone(false, 8)]), [10_000, 0]);
+    let fuller = count_firsts(&[zone(false, 0), zone(false, 6)]);
     assert!(
         (2_200..2_800).contains(&fuller[0]),
-        "3 of 12 parts: {fuller:?}"
+        "weight 3 of 12: {fuller:?}"
     );
     assert_eq!(rank(&[], &mut draw), Vec::<usize>::new());
 }
--- a/crates/decide/tests/shift.rs
+++ b/crates/decide/tests/shift.rs
@@ -1,5 +1,5 @@
-//! Shares move no faster than the cap, whatever the target does, on one box and in any
-//! mean of boxes.
+//! Shares move no faster than the cap, however the target changes, and picks follow the
+//! shares.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_decide::regions::{RegionFactors, RegionReport};
@@ -21,8 +21,8 @@
         .collect()
 }
 
-/// The same cases in every run.
-fn same_every_time() -> ProptestConfig {
+/// Generates the same cases in every run.
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         cases: 400,
         rng_seed: RngSeed::Fixed(4),
@@ -31,10 +31,10 @@
     }
 }
 
-/// Shares over time: (when, shares).
+/// Shares over time, as pairs of time and shares.
 type Track = Vec<(Millis, Shares)>;
 
-/// Steps towards targets that jump about, at irregular times, pauses included.
+/// Steps towards changing targets at irregular times, with pauses.
 fn track(start: &[f64], moves: &[(Vec<f64>, Millis)], cap: ShiftCap) -> Track {
     let mut now = 0;
     let mut state = ShiftState::new(shares(start), now);
@@ -47,17 +47,18 @@
     track
 }
 
-fn most_in_window(track: &Track, window_ms: Millis) -> f64 {
-    let mut most = 0.0_f64;
+/// Returns the largest distance between the shares at two times at most `window_ms` apart.
+fn max_move_in_window(track: &Track, window_ms: Millis) -> f64 {
+    let mut max_move = 0.0_f64;
     for (index, (from, before)) in track.iter().enumerate() {
         for (to, after) in &track[index..] {
             if to - from > window_ms {
                 break;
             }
-            most = most.max(distance(before, after));
+            max_move = max_move.max(distance(before, after));
         }
     }
-    most
+    max_move
 }
 
 fn weights() -> impl Strategy<Value = Vec<f64>> {
@@ -67,7 +68,7 @@
 }
 
 proptest! {
-    #![proptest_config(same_every_time())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
     fn in_any_window_the_shares_move_at_most_the_cap(
@@ -78,7 +79,7 @@
     ) {
         let cap = ShiftCap { fraction: f64::from(percent) / 100.0, window_ms };
         let track = track(&start, &moves, cap);
-        prop_assert!(most_in_window(&track, window_ms) <= cap.fraction + 1e-9);
+        prop_assert!(max_move_in_window(&track, window_ms) <= cap.fraction + 1e-9);
         for (_, shares) in &track {
             let sum: f64 = shares.values().sum();
             prop_assert!((sum - 1.0).abs() < 1e-6);
@@ -114,12 +115,12 @@
     let track = track(&[1.0, 0.0, 0.0], &moves, cap);
     let target = shares(&[0.0, 1.0, 0.0]);
     let arrived = track.iter().find(|(_, s)| distance(s, &target) < 1e-9);
-    // 0.1 in 10 s, and callers keep answers for 1 s: 11 s for each tenth.
+    // The cap of 0.1 per 10 s, plus 1 s for which callers cache responses: 11 s per tenth.
     assert_eq!(arrived.unwrap().0, 110_000);
 }
 
 #[test]
-fn a_box_that_was_paused_does_not_catch_up_by_a_jump() {
+fn a_box_that_was_paused_does_not_jump_ahead() {
     let cap = ShiftCap {
         fraction: 0.1,
         window_ms: 10_000,
--- a/crates/decide/tests/slots.rs
+++ b/crates/decide/tests/slots.rs
@@ -1,6 +1,6 @@
-//! Explores lending between three boxes with messages that are late, lost or doubled,
-//! boxes that pause or restart, and work that runs as long as it may: no slot ever
-//! carries two requests at a time.
+//! Simulates lending between three boxes with messages that are delayed, lost or
+//! duplicated, boxes that pause or restart, and work that runs for up to its maximum
+//! duration. No slot may ever have two requests at a time.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_decide::slots::{HoldBack, Loan, LoanTerms, SlotPool};
@@ -20,8 +20,8 @@
     BoxId::new(format!("box-{index}"))
 }
 
-/// Units dealt out in turn to all boxes.
-fn dealt_table() -> UnitTable {
+/// Returns a table with the units assigned to the boxes in turn.
+fn round_robin_table() -> UnitTable {
     let owner = |unit: usize| {
         Some(UnitOwner {
             box_id: box_id(unit % BOXES),
@@ -38,10 +38,10 @@
 enum Step {
     Admit(usize),
     Finish(usize),
-    Ask(usize, usize, u32),
+    Request(usize, usize, u32),
     Deliver(usize),
     Lose(usize),
-    Double(usize),
+    Duplicate(usize),
     Advance(Millis),
     ReturnIdle(usize),
     Restart(usize),
@@ -49,19 +49,19 @@
 }
 
 #[derive(Clone, Debug)]
-enum Letter {
-    Ask {
+enum Message {
+    Request {
         from: usize,
         to: usize,
         want: u32,
-        asked_at: Millis,
+        requested_at: Millis,
         epoch: u32,
     },
     Grant {
         from: usize,
         to: usize,
         loans: Vec<Loan>,
-        asked_at: Millis,
+        requested_at: Millis,
         epoch: u32,
         lender_epoch: u32,
     },
@@ -80,18 +80,18 @@
     until: Millis,
 }
 
-struct World {
+struct Simulation {
     now: Millis,
     pools: Vec<SlotPool>,
     epochs: Vec<u32>,
-    letters: Vec<Letter>,
+    messages: Vec<Message>,
     work: Vec<Work>,
-    most: usize,
+    max_concurrent: usize,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
-        let table = dealt_table();
+        let table = round_robin_table();
         let pools = (0..BOXES)
             .map(|index| {
                 let mut pool = SlotPool::new(box_id(index), TERMS, 1_000 * index as u64);
@@ -103,45 +103,45 @@
             now: 1_000,
             pools,
             epochs: vec![1; BOXES],
-            letters: Vec::new(),
+            messages: Vec::new(),
             work: Vec::new(),
-            most: 0,
+            max_concurrent: 0,
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Admit(index) => self.admit(index % BOXES),
             Step::Finish(index) => self.finish(index),
-            Step::Ask(from, to, want) => {
+            Step::Request(from, to, want) => {
                 let (from, to) = (from % BOXES, to % BOXES);
                 if from != to {
                     let epoch = self.epochs[from];
-                    let asked_at = self.now;
-                    self.letters.push(Letter::Ask {
+                    let requested_at = self.now;
+                    self.messages.push(Message::Request {
                         from,
                         to,
                         want,
-                        asked_at,
+                        requested_at,
                         epoch,
                     });
                 }
             }
             Step::Deliver(index) => {
-                if !self.letters.is_empty() {
-                    let letter = self.letters.remove(index % self.letters.len());
-                    self.deliver(letter);
+                if !self.messages.is_empty() {
+                    let message = self.messages.remove(index % self.messages.len());
+                    self.deliver(message);
                 }
             }
             Step::Lose(index) => {
-                if !self.letters.is_empty() {
-                    self.letters.remove(index % self.letters.len());
+                if !self.messages.is_empty() {
+                    self.messages.remove(index % self.messages.len());
                 }
             }
-            Step::Double(index) => {
-                if !self.letters.is_empty() {
-                    let letter = self.letters[index % self.letters.len()].clone();
-                    self.letters.push(letter);
+            Step::Duplicate(index) => {
+                if !self.messages.is_empty() {
+                    let message = self.messages[index % self.messages.len()].clone();
+                    self.messages.push(message);
                 }
             }
             Step::Advance(ms) => {
@@ -151,15 +151,15 @@
             Step::ReturnIdle(index) => {
                 let index = index % BOXES;
                 let returned = self.pools[index].return_idle(false, self.now);
-                for one in returned {
-                    self.send_return(index, &one.lender, one.loan);
+                for item in returned {
+                    self.send_return(index, &item.lender, item.loan);
                 }
             }
             Step::Restart(index) => self.restart(index % BOXES),
             Step::Recall(index, lender) => {
                 let returned = self.pools[index].recall(&box_id(lender));
-                for one in returned {
-                    self.send_return(index, &one.lender, one.loan);
+                for item in returned {
+                    self.send_return(index, &item.lender, item.loan);
                 }
             }
         }
@@ -183,10 +183,10 @@
             return;
         }
         let work = self.work.remove(index % self.work.len());
-        self.tell_finished(&work);
+        self.report_finished(&work);
     }
 
-    fn tell_finished(&mut self, work: &Work) {
+    fn report_finished(&mut self, work: &Work) {
         if self.epochs[work.owner] != work.epoch {
             return;
         }
@@ -195,73 +195,74 @@
         }
     }
 
-    /// Upstreams stop at the deadline by themselves, even where the box is paused.
+    /// Ends overdue work: upstreams stop at the deadline even if the box is paused.
     fn end_overdue(&mut self) {
         let now = self.now;
         let (over, under): (Vec<Work>, Vec<Work>) =
             self.work.drain(..).partition(|work| work.until <= now);
         self.work = under;
         for work in over {
-            self.tell_finished(&work);
+            self.report_finished(&work);
         }
     }
 
     fn send_return(&mut self, from: usize, lender: &BoxId, loan: Loan) {
         let to = (0..BOXES).find(|index| box_id(*index) == *lender).unwrap();
-        self.letters.push(Letter::Return { from, to, loan });
+        self.messages.push(Message::Return { from, to, loan });
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        match letter {
-            Letter::Ask {
+    fn deliver(&mut self, message: Message) {
+        match message {
+            Message::Request {
                 from,
                 to,
                 want,
-                asked_at,
+                requested_at,
                 epoch,
             } => {
                 let loans = self.pools[to].lend(&box_id(from), want, self.now);
                 let lender_epoch = self.epochs[to];
-                self.letters.push(Letter::Grant {
+                self.messages.push(Message::Grant {
                     from: to,
                     to: from,
                     loans,
-                    asked_at,
+                    requested_at,
                     epoch,
                     lender_epoch,
                 });
             }
-            Letter::Grant {
+            Message::Grant {
                 from,
                 to,
                 loans,
-                asked_at,
+                requested_at,
                 epoch,
                 lender_epoch,
             } => {
-                // The daemon drops grants to or from an earlier run.
+                // The daemon drops grants to or from an earlier incarnation.
                 if self.epochs[to] != epoch || self.epochs[from] != lender_epoch {
                     return;
                 }
-                let refused = self.pools[to].borrow(&box_id(from), &loans, asked_at, self.now);
-                for one in refused {
-                    self.send_return(to, &one.lender, one.loan);
+                let refused = self.pools[to].borrow(&box_id(from), &loans, requested_at, self.now);
+                for item in refused {
+                    self.send_return(to, &item.lender, item.loan);
                 }
             }
-            Letter::Return { from, to, loan } => {
+            Message::Return { from, to, loan } => {
                 self.pools[to].take_back(&box_id(from), loan);
             }
         }
     }
 
-    /// The box dies with its own work; its loans stay out. The new run holds back, asks
-    /// everyone, and frees what nobody reports.
+    /// Restarts a box. Its own work ends, but its loans stay with the borrowers. The new
+    /// incarnation holds its slots back, queries all peers and releases the slots that none
+    /// reports as in use.
     fn restart(&mut self, index: usize) {
         self.epochs[index] += 1;
         self.work.retain(|work| work.owner != index);
         let first_loan = 1_000_000 * u64::from(self.epochs[index]) + 1_000 * index as u64;
         let mut pool = SlotPool::new(box_id(index), TERMS, first_loan);
-        pool.set_load(LOAD, TERMS, &dealt_table(), HoldBack::LongestUse, self.now);
+        pool.set_load(LOAD, TERMS, &round_robin_table(), HoldBack::LongestUse, self.now);
         let mut in_use = Vec::new();
         for other in (0..BOXES).filter(|other| *other != index) {
             in_use.extend(self.pools[other].in_use_from(&box_id(index)));
@@ -282,7 +283,7 @@
             self.work
         );
         assert!(slots.iter().all(|slot| *slot < LOAD));
-        self.most = self.most.max(all);
+        self.max_concurrent = self.max_concurrent.max(all);
     }
 }
 
@@ -290,10 +291,10 @@
     prop_oneof![
         6 => (0..BOXES).prop_map(Step::Admit),
         3 => any::<usize>().prop_map(Step::Finish),
-        4 => (0..BOXES, 0..BOXES, 1..4_u32).prop_map(|(a, b, n)| Step::Ask(a, b, n)),
+        4 => (0..BOXES, 0..BOXES, 1..4_u32).prop_map(|(a, b, n)| Step::Request(a, b, n)),
         7 => any::<usize>().prop_map(Step::Deliver),
         1 => any::<usize>().prop_map(Step::Lose),
-        1 => any::<usize>().prop_map(Step::Double),
+        1 => any::<usize>().prop_map(Step::Duplicate),
         3 => prop_oneof![1..40_u64, 90..130_u64, 300..500_u64].prop_map(Step::Advance),
         1 => (0..BOXES).prop_map(Step::ReturnIdle),
         1 => (0..BOXES).prop_map(Step::Restart),
@@ -301,8 +302,8 @@
     ]
 }
 
-/// The same cases in every run.
-fn same_every_time() -> ProptestConfig {
+/// Generates the same cases in every run.
+fn fixed_seed_config() -> ProptestConfig {
     ProptestConfig {
         cases: 3_000,
         rng_seed: RngSeed::Fixed(20_261_202),
@@ -312,72 +313,72 @@
 }
 
 proptest! {
-    #![proptest_config(same_every_time())]
+    #![proptest_config(fixed_seed_config())]
 
     #[test]
     fn no_slot_carries_two_requests_whatever_happens_to_messages_and_boxes(
         steps in prop::collection::vec(step(), 1..120)
     ) {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         for step in steps {
-            world.take(step);
+            simulation.apply(step);
         }
     }
 }
 
 #[test]
-fn one_box_alone_under_load_comes_to_use_the_whole_zone() {
-    let mut world = World::new();
+fn a_single_box_under_load_borrows_the_whole_zone() {
+    let mut simulation = Simulation::new();
     for _ in 0..20 {
-        world.admit(0);
-        world.take(Step::Ask(0, 1, 4));
-        world.take(Step::Ask(0, 2, 4));
-        while !world.letters.is_empty() {
-            world.take(Step::Deliver(0));
+        simulation.admit(0);
+        simulation.apply(Step::Request(0, 1, 4));
+        simulation.apply(Step::Request(0, 2, 4));
+        while !simulation.messages.is_empty() {
+            simulation.apply(Step::Deliver(0));
         }
     }
-    assert_eq!(world.most, LOAD as usize);
+    assert_eq!(simulation.max_concurrent, LOAD as usize);
 }
 
 #[test]
-fn a_borrower_that_slept_past_its_term_starts_nothing() {
-    let table = dealt_table();
+fn a_borrower_that_was_paused_past_its_term_starts_nothing() {
+    let table = round_robin_table();
     let mut lender = SlotPool::new(box_id(0), TERMS, 0);
     let mut borrower = SlotPool::new(box_id(1), TERMS, 0);
     lender.set_load(LOAD, TERMS, &table, HoldBack::No, 0);
     borrower.set_load(LOAD, TERMS, &table, HoldBack::No, 0);
-    let asked_at = 1_000;
-    let loans = lender.lend(&box_id(1), 3, asked_at + 50);
+    let requested_at = 1_000;
+    let loans = lender.lend(&box_id(1), 3, requested_at + 50);
     assert!(!loans.is_empty());
-    borrower.borrow(&box_id(0), &loans, asked_at, asked_at + 60);
+    borrower.borrow(&box_id(0), &loans, requested_at, requested_at + 60);
     let borrowed: Vec<u32> = loans.iter().map(|loan| loan.slot).collect();
     let only_borrowed = |slot: u32| borrowed.contains(&slot).then_some(0);
-    let within = borrower.admit(asked_at + 99, only_borrowed);
-    assert_eq!(within.unwrap().send_before, Some(asked_at + TERMS.term_ms));
+    let within = borrower.admit(requested_at + 99, only_borrowed);
+    assert_eq!(within.unwrap().send_before, Some(requested_at + TERMS.term_ms));
     assert!(
         borrower
-            .admit(asked_at + TERMS.term_ms, only_borrowed)
+            .admit(requested_at + TERMS.term_ms, only_borrowed)
             .is_none()
     );
 }
 
 #[test]
 fn a_lender_waits_out_the_longest_run_before_it_uses_an_unreturned_slot() {
-    let table = dealt_table();
+    let table = round_robin_table();
     let mut lender = SlotPool::new(box_id(0), TERMS, 0);
     lender.set_load(LOAD, TERMS, &table, HoldBack::No, 0);
     let granted_at = 1_000;
     let loans = lender.lend(&box_id(1), 1, granted_at);
     let lent = loans[0].slot;
     let only_lent = |slot: u32| (slot == lent).then_some(0);
-    let last = granted_at + TERMS.longest_use_ms() - 1;
+    let last = granted_at + TERMS.max_use_ms() - 1;
     assert!(lender.admit(last, only_lent).is_none());
     assert!(lender.admit(last + 1, only_lent).is_some());
 }
 
 #[test]
 fn a_leaving_lender_gets_idle_slots_back_at_once_and_busy_ones_when_they_end() {
-    let table = dealt_table();
+    let table = round_robin_table();
     let mut lender = SlotPool::new(box_id(0), TERMS, 0);
     let mut borrower = SlotPool::new(box_id(1), TERMS, 0);
     lender.set_load(LOAD, TERMS, &table, HoldBack::No, 0);
@@ -403,7 +404,7 @@
 
 #[test]
 fn a_return_of_an_earlier_loan_does_not_end_the_present_one() {
-    let table = dealt_table();
+    let table = round_robin_table();
     let mut lender = SlotPool::new(box_id(0), TERMS, 0);
     lender.set_load(LOAD, TERMS, &table, HoldBack::No, 0);
     let first = lender.lend(&box_id(1), 1, 0)[0];
@@ -416,7 +417,7 @@
 
 #[test]
 fn a_smaller_load_stops_new_work_on_the_slots_that_fall_away() {
-    let table = dealt_table();
+    let table = round_robin_table();
     let mut pool = SlotPool::new(box_id(0), TERMS, 0);
     pool.set_load(LOAD, TERMS, &table, HoldBack::No, 0);
     let before = pool.counts(0).idle;
--- a/crates/decide/tests/unit_claims.rs
+++ b/crates/decide/tests/unit_claims.rs
@@ -1,5 +1,5 @@
-//! Boxes that claim, give up and take over units through a compare-and-swap never own
-//! a unit together, and come to equal shares.
+//! Boxes that claim, give up and take over units one compare-and-swap at a time reach equal
+//! shares, and only boxes gone from the platform's list lose their units.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_decide::unit_claims::{GONE_AFTER_MS, ListWatch, claim, give_up, owned, surplus};
@@ -11,15 +11,15 @@
 }
 
 #[test]
-fn boxes_that_join_one_after_another_come_to_equal_shares() {
+fn boxes_that_join_one_after_another_reach_equal_shares() {
     for boxes in [1, 2, 3, 5, 12, 40] {
         let mut table = UnitTable::default();
-        // Each round every box acts on the table as it is: one compare-and-swap at a time.
+        // In each round every box acts on the current table, one compare-and-swap at a time.
         for _ in 0..4 {
             for index in 0..boxes {
-                let extra = surplus(&table, &id(index), boxes, |_| true);
-                if !extra.is_empty() {
-                    table = give_up(&table, &id(index), &extra);
+                let excess = surplus(&table, &id(index), boxes, |_| true);
+                if !excess.is_empty() {
+                    table = give_up(&table, &id(index), &excess);
                 }
                 if let Some(claim) = claim(&table, &id(index), Incarnation(1), boxes, |_| false) {
                     table = claim.table;
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn a_box_gives_up_only_quiet_units() {
+fn a_box_gives_up_only_unused_units() {
     let table = claim(&UnitTable::default(), &id(0), Incarnation(1), 1, |_| false)
         .unwrap()
         .table;
-    let extra = surplus(&table, &id(0), 2, |unit| unit < 10);
-    assert!(extra.iter().all(|unit| *unit < 10));
-    let after = give_up(&table, &id(0), &extra);
-    assert_eq!(owned(&after, &id(0)).len(), UNITS - extra.len());
+    let excess = surplus(&table, &id(0), 2, |unit| unit < 10);
+    assert!(excess.iter().all(|unit| *unit < 10));
+    let after = give_up(&table, &id(0), &excess);
+    assert_eq!(owned(&after, &id(0)).len(), UNITS - excess.len());
     assert_eq!(after.version, table.version + 1);
 }
 
@@ -62,7 +62,7 @@
     let mut watch = ListWatch::default();
     let listed: BTreeSet<BoxId> = [id(0)].into();
     watch.observe(&listed, &[id(0), id(1)], 0);
-    // Never seen listed: it may be too new for the list.
+    // Never seen in the list, so it may be too new for it.
     assert!(!watch.is_gone(&id(1), 600_000, GONE_AFTER_MS));
     assert!(watch.is_gone(&id(1), 600_000, 600_000));
     watch.observe(&BTreeSet::new(), &[id(0)], 1_000);
@@ -82,9 +82,9 @@
         for slot in 0..load {
             counts[unit_of_slot(slot)] += 1;
         }
-        let most = counts.iter().max().unwrap();
-        let least = counts.iter().min().unwrap();
-        assert!(most - least <= 1, "load {load}: {least} to {most}");
+        let max = counts.iter().max().unwrap();
+        let min = counts.iter().min().unwrap();
+        assert!(max - min <= 1, "load {load}: {min} to {max}");
         // Two boxes with half of the units each get about half of the slots.
         let half: u32 = counts[..UNITS / 2].iter().sum();
         assert!(half.abs_diff(load / 2) <= 1, "load {load}: {half}");
