--- a/crates/decide/src/retry_budget.rs
+++ b/crates/decide/src/retry_budget.rs
@@ -18,7 +18,9 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        Self { balance: MAX_RETRIES }
+        Self {
+            balance: MAX_RETRIES,
+        }
     }
 }
 
--- a/crates/decide/src/slots.rs
+++ b/crates/decide/src/slots.rs
@@ -187,7 +187,10 @@
         let best = (0..self.load.min(self.slots.len() as u32))
             .filter(|slot| self.can_start(*slot, now))
             .filter_map(|slot| {
-                let borrowed = matches!(self.slots[slot as usize].ownership, Ownership::Borrowed { .. });
+                let borrowed = matches!(
+                    self.slots[slot as usize].ownership,
+                    Ownership::Borrowed { .. }
+                );
                 cost(slot).map(|cost| (cost, borrowed, slot))
             })
             .min()?;
@@ -398,7 +401,9 @@
     fn expire(&mut self, now: Millis) {
         for entry in &mut self.slots {
             match entry.ownership {
-                Ownership::Loaned { reclaim_at, .. } if now >= reclaim_at => entry.ownership = Ownership::Own,
+                Ownership::Loaned { reclaim_at, .. } if now >= reclaim_at => {
+                    entry.ownership = Ownership::Own
+                }
                 Ownership::HeldBack { until } if now >= until => entry.ownership = Ownership::Own,
                 _ => {}
             }
--- a/crates/decide/tests/places.rs
+++ b/crates/decide/tests/places.rs
@@ -89,7 +89,10 @@
     }
     assert_eq!(covered.len(), ZONES - 1);
     assert!(covered.values().all(|boxes| *boxes == LINKS_PER_ZONE));
-    assert!(max_remote <= 12, "{max_remote} links to other zones, 4.75 on average");
+    assert!(
+        max_remote <= 12,
+        "{max_remote} links to other zones, 4.75 on average"
+    );
 }
 
 #[test]
--- a/crates/decide/tests/slots.rs
+++ b/crates/decide/tests/slots.rs
@@ -262,7 +262,13 @@
         self.work.retain(|work| work.owner != index);
         let first_loan = 1_000_000 * u64::from(self.epochs[index]) + 1_000 * index as u64;
         let mut pool = SlotPool::new(box_id(index), TERMS, first_loan);
-        pool.set_load(LOAD, TERMS, &round_robin_table(), HoldBack::LongestUse, self.now);
+        pool.set_load(
+            LOAD,
+            TERMS,
+            &round_robin_table(),
+            HoldBack::LongestUse,
+            self.now,
+        );
         let mut in_use = Vec::new();
         for other in (0..BOXES).filter(|other| *other != index) {
             in_use.extend(self.pools[other].in_use_from(&box_id(index)));
@@ -354,7 +360,10 @@
     let borrowed: Vec<u32> = loans.iter().map(|loan| loan.slot).collect();
     let only_borrowed = |slot: u32| borrowed.contains(&slot).then_some(0);
     let within = borrower.admit(requested_at + 99, only_borrowed);
-    assert_eq!(within.unwrap().send_before, Some(requested_at + TERMS.term_ms));
+    assert_eq!(
+        within.unwrap().send_before,
+        Some(requested_at + TERMS.term_ms)
+    );
     assert!(
         borrower
             .admit(requested_at + TERMS.term_ms, only_borrowed)
