--- a/crates/routing/src/cold_pacing.rs
+++ b/crates/routing/src/cold_pacing.rs
@@ -1,20 +1,20 @@
-//! Paces what a cold upstream gets from all boxes together.
+//! Limits the rate of requests that all boxes together send to a cold upstream.
 //!
-//! A few boxes, chosen by rendezvous among the members, each send at most one request
-//! in a fixed gap. Boxes that can't hear each other choose by themselves. Those that hear half of
-//! the fleet or more send as much as all would; smaller groups send by their part of the fleet.
+//! A few boxes, chosen by rendezvous hashing among the members, each send at most one request per
+//! fixed interval. Boxes that can't reach each other choose independently: a group with at least
+//! half of the fleet sends at the full rate, and smaller groups at their fraction of the fleet.
 
 use brasswinch_types::Millis;
 
-/// Most boxes that warm one upstream at a time.
+/// Most boxes that warm one upstream at the same time.
 const MOST_WARMERS: usize = 4;
 
-/// Part of the bearable rate that is sent. Two groups that are cut off from each
-/// other together stay under the bound with it.
+/// Fraction of the tolerable rate that is used. It keeps two groups that are cut off from each
+/// other below the limit together.
 const RATE_PART: f64 = 0.7;
 
-/// Part of a fleet from which on a group sends as much as all would: there are two such groups at
-/// most, which the bound bears.
+/// Fraction of the fleet from which on a group sends at the full rate: there are at most two such
+/// groups, which the limit tolerates.
 const WHOLE_FROM: f64 = 0.5;
 
 /// The pacing of one cold upstream on one box.
@@ -24,21 +24,21 @@
 }
 
 impl ColdPacing {
-    /// How many boxes warm an upstream in a fleet of `boxes`.
+    /// Returns the number of boxes that warm an upstream in a fleet of `boxes`.
     pub fn warmers(boxes: usize) -> usize {
         boxes.clamp(1, MOST_WARMERS)
     }
 
-    /// Part of the rate for a group of `heard` boxes that hear each other, in a fleet of `boxes`:
-    /// over all groups they add up to two at most.
+    /// Returns the fraction of the rate for a group of `heard` boxes that reach each other, in a
+    /// fleet of `boxes`. Over all groups the fractions add up to at most 2.
     pub fn group_part(heard: usize, boxes: usize) -> f64 {
         let part = heard as f64 / boxes.max(1) as f64;
         if part >= WHOLE_FROM { 1.0 } else { part }
     }
 
-    /// Whether a request may go to the cold upstream now, and if so counts it. The first
-    /// one waits a random part of the gap (`random` from 0 to 1), since all boxes learn
-    /// of a cold upstream at the same moment.
+    /// Whether a request may go to the cold upstream now; counts it if so. The first request waits
+    /// a random part of the interval (`random` from 0 to 1), since all boxes learn of a cold
+    /// upstream at the same moment.
     pub fn admit(&mut self, cold_per_s: f64, boxes: usize, random: f64, now: Millis) -> bool {
         if cold_per_s <= 0.0 {
             return false;
--- a/crates/routing/src/demand.rs
+++ b/crates/routing/src/demand.rs
@@ -1,21 +1,20 @@
-//! What the callers of each region ask for, from what some boxes say of their own.
+//! Estimates the demand of each region from the load reports of some of its boxes.
 //!
-//! In a large fleet a box hears the loads of others only now and then, and of some not
-//! yet. What is heard is taken as a sample: a region's demand is the mean of its boxes
-//! that were heard, for each of its boxes.
+//! In a large fleet a box receives the load of other boxes only now and then, and that of some not
+//! yet. The received reports are treated as a sample: a region's demand is the mean over its boxes
+//! with a report, times its number of boxes.
 
 use brasswinch_types::{Millis, Region};
 use std::collections::BTreeMap;
 
-/// Time over which demand is averaged before region plans follow it. Each object that
-/// moves costs a first run, and another when the wave has passed; worth of all answers
-/// against an average of seconds: 0.006 ± 0.002 and 0.004 ± 0.002 (two loads, 12 paired
-/// days each).
+/// Averaging time of demand for region plans. Each object that moves costs a first run, and
+/// another when the wave has passed; compared with an average over seconds, this raised the total
+/// answer value by 0.006 ± 0.002 and 0.004 ± 0.002 (two loads).
 const AVERAGED_MS: f64 = 120_000.0;
 
-/// Demand that has left its average by this factor is followed at once, to within the
-/// factor: a region that asks for so much more won't wait for the average. Chosen above the
-/// waves of up to 1.55 times the mean that were seen; not measured by itself.
+/// Largest ratio between current and averaged demand; beyond it the plan follows at once, to
+/// within this factor, so that a region with a sharp rise doesn't wait for the average. It is
+/// above the demand waves seen, of up to 1.55 times the mean.
 const MOST_DEPARTURE: f64 = 1.8;
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -25,18 +24,18 @@
     sum: f64,
 }
 
-/// Collects loads of boxes.
+/// Load reports of boxes, by region.
 #[derive(Clone, Debug, Default)]
 pub struct DemandSample {
     regions: BTreeMap<Region, Sample>,
 }
 
 impl DemandSample {
-    /// Adds a box and, where it was heard, the requests a second of its callers.
+    /// Adds a box and, if it has reported one, the request rate of its callers.
     pub fn add(&mut self, region: &Region, requests_per_s: Option<f32>) {
         let sample = self.regions.entry(region.clone()).or_default();
         sample.boxes += 1.0;
-        // Other boxes tell it; a number that can't be one counts as not heard.
+        // The rate comes from other boxes; an invalid one counts as missing.
         let heard = requests_per_s.filter(|rate| rate.is_finite() && *rate >= 0.0);
         if let Some(requests_per_s) = heard {
             sample.heard += 1.0;
@@ -44,8 +43,8 @@
         }
     }
 
-    /// The demand of each region. One of which nothing was heard is taken to ask as much
-    /// as the others do on average.
+    /// Returns the demand of each region. A region without reports is assumed to have the average
+    /// demand of the others.
     pub fn by_region(&self) -> BTreeMap<Region, f64> {
         let estimate = |sample: &Sample| {
             (sample.heard > 0.0).then(|| sample.sum / sample.heard * sample.boxes)
@@ -59,8 +58,8 @@
     }
 }
 
-/// Demand as region plans use it: the parts of the regions over minutes, not seconds.
-/// Regions are taken to ask alike at first.
+/// Demand as region plans use it: each region's share, averaged over minutes. Shares are equal at
+/// first.
 #[derive(Clone, Debug, Default)]
 pub struct AveragedDemand {
     parts: BTreeMap<Region, f64>,
@@ -68,7 +67,7 @@
 }
 
 impl AveragedDemand {
-    /// Takes the newest demand of each region, in any unit.
+    /// Adds the newest demand of each region, in any unit.
     pub fn add(&mut self, newest: &BTreeMap<Region, f64>, now: Millis) {
         let total: f64 = newest.values().sum();
         if total <= 0.0 {
@@ -85,7 +84,7 @@
         }
     }
 
-    /// The part of each region that plans go by, given the newest demand.
+    /// Returns the share of each region for planning, given the newest demand.
     pub fn planned(&self, newest: &BTreeMap<Region, f64>) -> BTreeMap<Region, f64> {
         let total: f64 = newest.values().sum();
         let planned = |(region, average): (&Region, &f64)| {
--- a/crates/routing/src/health_askers.rs
+++ b/crates/routing/src/health_askers.rs
@@ -1,24 +1,25 @@
-//! Which box asks an upstream how it is while the store can't tell.
+//! Selects the box that probes an upstream's health while the store is unavailable.
 //!
-//! One box asks for all, by rendezvous among the boxes that serve in the upstream's zone; where
-//! none does, in its region; else among all. So each upstream is asked once, however many boxes
-//! there are, and a zone that is cut off asks its own.
+//! One box probes on behalf of all, chosen by rendezvous hashing among the serving boxes in the
+//! upstream's zone; if there are none, in its region; otherwise among all. Each upstream is thus
+//! probed once, regardless of the number of boxes, and a zone that is cut off probes its own
+//! upstreams.
 
 use crate::rendezvous::{object_hash, weighted_score};
 use crate::upstream::UpstreamRecord;
 use brasswinch_types::{BoxId, Region, Zone};
 use std::collections::BTreeMap;
 
-/// A box that serves, as one that may ask.
+/// A serving box that may probe upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HealthAsker {
     /// The box.
     pub id: BoxId,
-    /// Where it stands.
+    /// Its zone.
     pub zone: Zone,
 }
 
-/// The boxes that may ask, as one of them sees them.
+/// The boxes that may probe upstreams, as one of them sees them.
 #[derive(Debug)]
 pub struct HealthAskers<'a> {
     me: u64,
@@ -31,7 +32,8 @@
 }
 
 impl<'a> HealthAskers<'a> {
-    /// The boxes that serve, with the regions of all zones; `me` is one of them.
+    /// Creates the set from the serving boxes and the region of each zone; `me` is one of the
+    /// boxes.
     pub fn new(
         me: &BoxId,
         zones: &'a BTreeMap<Zone, Region>,
@@ -49,7 +51,7 @@
         }
     }
 
-    /// Whether this box is the one that asks the upstream.
+    /// Whether this box probes the upstream.
     pub fn asks(&self, upstream: &UpstreamRecord) -> bool {
         let candidates = self.near(&upstream.zone);
         if !candidates.contains(&self.me) {
@@ -61,7 +63,7 @@
         candidates.iter().all(|other| score(other) <= mine)
     }
 
-    /// The boxes nearest to a zone.
+    /// Returns the boxes nearest to a zone: its own, else its region's, else all.
     fn near(&self, zone: &Zone) -> Vec<u64> {
         if let Some(boxes) = self.by_zone.get(zone) {
             return boxes.clone();
--- a/crates/routing/src/look_up.rs
+++ b/crates/routing/src/look_up.rs
@@ -1,48 +1,47 @@
-//! Which boxes a look-up names.
+//! Selects the boxes in the answer to a look-up.
 //!
-//! Callers stay in their zone where it has boxes enough: the way is short, and each zone's
-//! boxes get what its callers send. Where it has few, or is asked for much more than the
-//! rest of its region, the region's boxes are named. Where there are more than an answer
-//! holds, it is drawn anew for each, larger boxes more often, so that no two answers need
-//! be alike and every box gets its part.
+//! Callers stay in their zone if it has enough boxes: the path is short, and each zone's boxes get
+//! the requests of its callers. If the zone has few boxes, or gets far more requests than the rest
+//! of its region, the answer lists the boxes of the region. If there are more than an answer
+//! holds, each answer is a new random sample that favors larger boxes, so that answers differ and
+//! every box gets its share.
 
 use brasswinch_types::Zone;
 use rand::{Rng, RngExt};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most boxes in an answer.
+/// Most boxes in one answer.
 pub const MOST_NAMED: usize = 64;
 
-/// Fewest boxes of the caller's zone that are named alone: with fewer the loss of one is
-/// felt, and a caller that skips it has hardly another.
+/// Smallest number of boxes for which the caller's zone is listed alone: with fewer, the loss of
+/// one is noticeable and a caller that skips it has hardly any alternative.
 const LEAST_OF_ZONE: usize = 8;
 
-/// A zone whose boxes are sent this many times the requests of its region's on average has
-/// no room for all of its callers.
+/// Ratio of a zone's load to the average of its region's zones above which the zone is overloaded.
 const CROWDED: f64 = 2.0;
 
-/// A box that serves, as a look-up sees it.
+/// A serving box as a candidate for a look-up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NamedBox {
-    /// Where callers reach it.
+    /// The address for callers.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Its zone.
     pub zone: Zone,
-    /// How much it bears, in any unit that all boxes share; 0 where that isn't known.
+    /// Capacity in a unit shared by all boxes; 0 if unknown.
     pub size: u32,
-    /// Requests a second that its callers send; `None` where that wasn't heard.
+    /// Request rate of its callers, per second; `None` if not reported.
     pub requests_per_s: Option<f32>,
 }
 
 impl NamedBox {
-    /// Where nothing is known of sizes all boxes are alike.
+    /// Boxes of unknown size count as equal.
     fn weight(&self) -> f64 {
         f64::from(self.size.max(1))
     }
 }
 
-/// The boxes that a caller in `zone` is told of; `near` are those of its region.
+/// Returns the boxes for a caller in `zone`; `near` are the boxes of its region.
 pub fn named(near: &[NamedBox], zone: &Zone, random: &mut impl Rng) -> Vec<SocketAddr> {
     let own: Vec<&NamedBox> = near.iter().filter(|held| &held.zone == zone).collect();
     let stays = own.len() >= LEAST_OF_ZONE && !is_crowded(near, zone);
@@ -50,11 +49,11 @@
     draw(candidates, random)
 }
 
-/// Whether the zone's boxes are sent so much more than the region's that it has no room.
+/// Whether the zone's load per unit of size exceeds the region's average by the overload ratio.
 fn is_crowded(near: &[NamedBox], zone: &Zone) -> bool {
     let mut loads: BTreeMap<&Zone, (f64, f64)> = BTreeMap::new();
     for held in near {
-        // Other boxes tell it; a number that can't be one counts as not heard.
+        // The rate comes from other boxes; an invalid one counts as missing.
         let heard = held.requests_per_s;
         let Some(rate) = heard.filter(|rate| rate.is_finite() && *rate >= 0.0) else {
             continue;
@@ -71,7 +70,7 @@
     own > all / loads.len() as f64 * CROWDED
 }
 
-/// All candidates, or as many as an answer holds, drawn by size without putting back
+/// Returns all candidates, or a weighted sample without replacement of as many as an answer holds
 /// (Efraimidis and Spirakis, 2006: the largest of `uniform^(1/weight)`).
 fn draw(candidates: Vec<&NamedBox>, random: &mut impl Rng) -> Vec<SocketAddr> {
     if candidates.len() <= MOST_NAMED {
--- a/crates/routing/src/placement/advice.rs
+++ b/crates/routing/src/placement/advice.rs
@@ -1,11 +1,11 @@
-//! What boxes ask each other about an upstream before they send it a request.
+//! Messages that boxes exchange about an upstream before they send it a request.
 //!
-//! Each upstream's load is counted by one box of each region, its keeper: all boxes of the
-//! region ask it before they send, and tell it when the request ends. So a decision's load
-//! is as good with 300 boxes as with one, where each of 300 boxes meets an upstream about
-//! once a minute. The keeper also chooses: of the upstreams that it keeps, the one that
-//! knows the object, or the least full. It decides nothing else: where it is silent, a box
-//! goes by what it knows itself.
+//! In each region one box, the coordinator, counts the load of an upstream: all boxes of the
+//! region ask it before they send a request and report to it when the request ends. Decisions are
+//! thus based on equally fresh load with 300 boxes as with one; on its own, each of 300 boxes
+//! reaches an upstream about once a minute. The coordinator also chooses among the upstreams that
+//! it coordinates: one that has been chosen for the object, or the least loaded. It decides
+//! nothing else: if it doesn't reply, a box uses its own information.
 
 use super::UpstreamOutcome;
 use crate::upstream::UpstreamStart;
@@ -13,72 +13,73 @@
 use brasswinch_types::{Millis, Region, Service, UpstreamId};
 use serde::{Deserialize, Serialize};
 
-/// Asks the keeper of an object's home where a request about the object should go. It is
-/// counted there until its [`Ending`], or until its time is over.
+/// Asks the coordinator of an object's home where to send a request. The coordinator counts the
+/// request until its [`Ending`] arrives or its time runs out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Question {
-    /// Names the request in the answer and at its end; drawn by the asking box.
+    /// Identifies the request in the reply and the completion report; random, drawn by the asking
+    /// box.
     #[serde(rename = "q")]
     pub id: u64,
     /// The service.
     #[serde(rename = "s")]
     pub service: Service,
-    /// Where the upstream is to stand.
+    /// The region to choose an upstream in.
     #[serde(rename = "r")]
     pub region: Region,
-    /// The object, as a hash.
+    /// Hash of the object.
     #[serde(rename = "o")]
     pub object: u64,
-    /// The object's home there.
+    /// The object's home in the region.
     #[serde(rename = "h")]
     pub home: UpstreamId,
-    /// How long the request may still take, in milliseconds.
+    /// Time left until the request's deadline, in milliseconds.
     #[serde(rename = "t")]
     pub left_ms: Millis,
 }
 
-/// A keeper's answer.
+/// A coordinator's reply to a query.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Advice {
-    /// The question's.
+    /// The id of the query.
     #[serde(rename = "q")]
     pub id: u64,
-    /// The upstream that suits best.
+    /// The advised upstream.
     #[serde(rename = "u")]
     pub upstream: UpstreamId,
-    /// Which of its lives.
+    /// Start time of the upstream's incarnation.
     #[serde(rename = "b", default)]
     pub started: Option<UpstreamStart>,
-    /// Requests there without this one, in multiples of its slots.
+    /// Requests at the upstream without this one, as a multiple of its slots.
     #[serde(rename = "f")]
     pub fullness: f32,
-    /// Whether it has served a request about the object lately.
+    /// Whether the upstream has recently served a request for the object.
     #[serde(rename = "k")]
     pub has_served: bool,
 }
 
-/// Tells a keeper how a request ended that it was asked about.
+/// Reports to the coordinator how a request that it was queried about ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Ending {
-    /// The question's.
+    /// The id of the query.
     #[serde(rename = "q")]
     pub id: u64,
     /// The service.
     #[serde(rename = "s")]
     pub service: Service,
-    /// The object, as a hash.
+    /// Hash of the object.
     #[serde(rename = "o")]
     pub object: u64,
-    /// Where it was sent; `None` where it went to an upstream of another region, or nowhere.
+    /// The upstream that got the request; `None` if it went to another region or was never sent.
     #[serde(rename = "u")]
     pub upstream: Option<UpstreamId>,
-    /// Which of its lives.
+    /// Start time of the upstream's incarnation.
     #[serde(rename = "b", default)]
     pub started: Option<UpstreamStart>,
-    /// How it ended there.
+    /// The outcome at that upstream.
     #[serde(rename = "e")]
     pub outcome: UpstreamOutcome,
-    /// What the upstream told of its load.
+    /// The load report in the upstream's answer.
     #[serde(rename = "l")]
     pub report: Option<LoadReport>,
 }
--- a/crates/routing/src/placement/basis.rs
+++ b/crates/routing/src/placement/basis.rs
@@ -1,24 +1,24 @@
-//! What a decision about a request was based on, for the log.
+//! The state behind a placement decision, for the log.
 
 use super::advice::Advice;
 use super::entry::Entry;
 use brasswinch_types::{Millis, UpstreamId};
 use std::fmt;
 
-/// How an object's home stood when a request about it came.
+/// State of an object's home when a request for the object arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HomeState {
     /// It had a free slot.
     Free,
     /// Its slots were taken.
     Full,
-    /// It was started or taken back lately.
+    /// It started recently, or its zone was put back into service recently.
     Cold,
-    /// Its limit leaves this box no room.
+    /// Its limit leaves this box no capacity.
     HeldOff,
-    /// It asked this box for rest.
+    /// It asked this box to back off.
     Resting,
-    /// It failed lately, or this request.
+    /// It failed recently, or has already been tried for this request.
     LeftOut,
 }
 
@@ -53,29 +53,29 @@
     }
 }
 
-/// An object's home as the box saw it.
+/// The home of an object as this box saw it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Home {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// How it stood.
+    /// Its state.
     pub state: HomeState,
-    /// Requests there, in multiples of its slots.
+    /// Requests there, as a multiple of its slots.
     pub fullness: f64,
-    /// Age of the upstream's own word about its load; `None` if it never gave one.
+    /// Age of the upstream's last load report, in milliseconds; `None` without a report.
     pub report_age_ms: Option<Millis>,
-    /// It has answered a request about the object lately.
+    /// Whether it has recently answered a request for the object.
     pub has_served: bool,
 }
 
-/// What the keeper of an object's home answered.
+/// The advice from the coordinator of an object's home.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdvisedHome {
-    /// The upstream that it named.
+    /// The advised upstream.
     pub upstream: UpstreamId,
-    /// Requests there, in multiples of its slots.
+    /// Requests there, as a multiple of its slots.
     pub fullness: f32,
-    /// It has answered a request of any box about the object lately.
+    /// Whether it has recently answered a request for the object from any box.
     pub has_served: bool,
 }
 
@@ -89,16 +89,16 @@
     }
 }
 
-/// What a decision about a request was based on. Its `Display` is a part of a log line.
+/// The state behind a placement decision. Its `Display` form is part of a log line.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Basis {
-    /// The object that the request is about, as a hash.
+    /// Hash of the requested object.
     pub object: u64,
-    /// The object's home; `None` where no upstream may be used.
+    /// The object's home; `None` without a usable upstream.
     pub home: Option<Home>,
-    /// What its keeper said; `None` where nobody was asked, or no answer came in time.
+    /// The coordinator's advice; `None` if none was asked for or no reply came in time.
     pub advised: Option<AdvisedHome>,
-    /// Whether one more request could have left its planned region.
+    /// Whether the spill window would have let one more request leave its planned region.
     pub may_leave_region: bool,
 }
 
--- a/crates/routing/src/placement/entry.rs
+++ b/crates/routing/src/placement/entry.rs
@@ -1,4 +1,4 @@
-//! One upstream as placement holds it.
+//! State of one upstream in placement.
 
 use super::REVIEW_MS;
 use super::said::Said;
@@ -9,47 +9,48 @@
 use brasswinch_types::{Millis, Region};
 use std::collections::VecDeque;
 
-/// Objects that are remembered as served by an upstream.
+/// Number of recently served objects remembered for each upstream.
 const MOST_SERVED: usize = 32;
 
-/// When an upstream's entry was lost, by this box's clock.
+/// The loss of an upstream's entry, by this box's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Lost {
-    /// When this box heard of it.
+    /// When this box learned of the loss.
     pub(super) heard_at: Millis,
     /// The upstream stays in use until then, unless its entry comes back.
     pub(super) kept_until: Millis,
 }
 
-/// An upstream and what this box knows of it.
+/// An upstream and its state as known to this box.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) record: UpstreamRecord,
     pub(super) region: Region,
     pub(super) hash: u64,
     pub(super) cold_until: Millis,
-    /// `None` while its entry is there.
+    /// `None` while its entry exists.
     pub(super) lost: Option<Lost>,
-    /// When this box learned of it.
+    /// When this box first saw the upstream.
     pub(super) joined_at: Millis,
-    /// This box has sent it a request, or it was there before the first.
+    /// Whether this box has sent it a request, or it existed before the first request for its
+    /// service.
     pub(super) is_used: bool,
     pub(super) is_evacuated: bool,
-    /// Its limit leaves, or left, this box no room before then; `None` before that was ever so.
+    /// Its limit leaves, or left, this box no capacity before then; `None` if that never happened.
     pub(super) held_off_until: Option<Millis>,
-    /// Another upstream answered at its address.
+    /// Whether another upstream answered at its address.
     pub(super) is_replaced: bool,
-    /// What it said of itself in answers.
+    /// Signals that it sent in answers.
     pub(super) said: Said,
-    /// Boxes that send to it as this one does, as far as known; at least 1.
+    /// Estimated number of boxes that send to it as this one does; at least 1.
     pub(super) senders: f64,
     pub(super) load: UpstreamLoad,
     pub(super) pacing: ColdPacing,
-    /// Objects that it served lately for this box, newest last.
+    /// Objects that it recently served for this box, newest last.
     pub(super) served: VecDeque<u64>,
-    /// Whether this box counts its requests for all boxes of the region.
+    /// Whether this box coordinates its load for all boxes of the region.
     pub(super) is_kept: bool,
-    /// The count, where other boxes asked for it.
+    /// The load counted for other boxes that sent queries.
     pub(super) shared: SharedLoad,
 }
 
@@ -66,12 +67,12 @@
         }
     }
 
-    /// Whether `record` is of the same life of the upstream.
+    /// Whether `record` belongs to the same incarnation of the upstream.
     pub(super) fn is_same_life(&self, record: &UpstreamRecord) -> bool {
         self.record.started == record.started
     }
 
-    /// Whether it says that it leaves, in its entry or in an answer.
+    /// Whether it announced that it is leaving, in its entry or in an answer.
     pub(super) fn is_leaving(&self) -> bool {
         self.record.state == UpstreamState::Draining || self.said.is_leaving
     }
@@ -80,18 +81,18 @@
         !self.is_leaving() && !self.is_evacuated && !self.is_replaced && self.is_held(now)
     }
 
-    /// Whether its entry is there, or was lost so lately that it may come back.
+    /// Whether its entry exists, or is lost but still retained.
     pub(super) fn is_held(&self, now: Millis) -> bool {
         self.lost.is_none_or(|lost| now < lost.kept_until)
     }
 
-    /// How long ago this box heard that the entry was lost, in milliseconds.
+    /// Returns how long ago this box learned that the entry was lost, in milliseconds.
     pub(super) fn lost_ms(&self, now: Millis) -> Option<Millis> {
         let lost = self.lost?;
         Some(now.saturating_sub(lost.heard_at))
     }
 
-    /// Whether something has befallen it that other upstreams have to make up for.
+    /// Whether it is out of full service, so that other upstreams have to take over its load.
     pub(super) fn is_disturbed(&self, now: Millis) -> bool {
         self.is_evacuated
             || self.is_cold(now)
@@ -99,23 +100,24 @@
             || self.free_at().is_some_and(|until| now < until + REVIEW_MS)
     }
 
-    /// When its limit and its rest leave room again; `None` where neither ever took it.
+    /// Returns when its limit and its backoff end, also if that is past; `None` if it never had
+    /// either.
     pub(super) fn free_at(&self) -> Option<Millis> {
         self.held_off_until.max(self.said.rests_until)
     }
 
-    /// Whether it may get a request now: for its health, and since it asked for rest.
+    /// Whether its health and its requested backoff allow a request now.
     pub(super) fn is_usable(&self, now: Millis) -> bool {
         let is_tried = self.said.is_on_trial(now) && !self.load.is_idle();
         !self.said.is_resting(now) && !is_tried && self.load.is_usable(now)
     }
 
-    /// Whether its limit leaves this box no room.
+    /// Whether its limit leaves this box no capacity.
     pub(super) fn is_held_off(&self, now: Millis) -> bool {
         self.held_off_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it is this life of the upstream.
+    /// Whether it is this incarnation of the upstream.
     pub(super) fn is_of(&self, life: &UpstreamLife) -> bool {
         self.record.id == life.upstream && self.record.started == life.started
     }
@@ -124,22 +126,22 @@
         now < self.cold_until
     }
 
-    /// Whether this box counts its requests for others, or did so lately.
+    /// Whether this box coordinates its load, or still counts requests from when it did.
     pub(super) fn is_counted(&self) -> bool {
         self.is_kept || self.shared.is_counting()
     }
 
-    /// Requests there of all boxes of the region, in multiples of its slots.
+    /// Returns the requests there from all boxes of the region, as a multiple of its slots.
     pub(super) fn shared_fullness(&self, now: Millis) -> f64 {
         self.shared.fullness(self.record.slots, now)
     }
 
-    /// Requests there, running and waiting, in multiples of its slots.
+    /// Returns the requests there, running and waiting, as a multiple of its slots.
     pub(super) fn fullness(&self, now: Millis) -> f64 {
         let known = self.load.estimate(now);
-        // Before its first report nothing tells of others' requests, and all boxes fill it
-        // at once; they are taken to send as much as this one. Requests that fail without
-        // this: 0.0012 ± 0.0005 of all (12 paired days).
+        // Before the first load report the requests of other boxes are unknown, and all boxes
+        // would fill the upstream at once, so each is assumed to send as much as this one. Without
+        // this, 0.0012 ± 0.0005 of all requests failed.
         let is_unheard = self.load.report_age_ms(now).is_none();
         let senders = if is_unheard { self.senders } else { 1.0 };
         known * senders / f64::from(self.record.slots.max(1))
--- a/crates/routing/src/placement/homes.rs
+++ b/crates/routing/src/placement/homes.rs
@@ -1,4 +1,4 @@
-//! An object's homes, and how they stand.
+//! The homes of an object and their state.
 
 use super::Wanted;
 use super::advice::Advice;
@@ -6,19 +6,20 @@
 use crate::rendezvous::object_hash;
 use brasswinch_types::{Millis, Region};
 
-/// A home of an object, as seen when a request about it came.
+/// A home of an object, as seen when a request for the object arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct SeenHome {
-    /// Its place among the service's upstreams.
+    /// Its index among the service's upstreams.
     pub(super) index: usize,
-    /// Requests there, in multiples of its slots.
+    /// Requests there, as a multiple of its slots.
     pub(super) fullness: f64,
-    /// Whether it has served a request about the object lately.
+    /// Whether it has recently served a request for the object.
     pub(super) has_served: bool,
 }
 
 impl Wanted<'_> {
-    /// The object as a hash; one drawn by `random`, from 0 to 1, where it names none.
+    /// Returns the hash of the object; a random one from `random` (0 to 1) if the request names
+    /// none.
     pub(super) fn object_hash(&self, random: f64) -> u64 {
         match self.object {
             Some(object) => object_hash(self.service.as_str(), object),
@@ -28,9 +29,8 @@
 }
 
 impl ServiceUpstreams {
-    /// The object's homes, one of each region that has a usable warm upstream, in the order
-    /// of `regions`. In the first region a keeper's advice names it, where the upstream can
-    /// be used.
+    /// Returns the object's homes in the order of `regions`, one for each region with a usable
+    /// warm upstream. In the first region the advised upstream replaces the home if it is usable.
     pub(super) fn seen_homes(
         &self,
         object: u64,
@@ -58,8 +58,8 @@
             .collect()
     }
 
-    /// The home of an object in `region`: by rendezvous, among the warm upstreams that can
-    /// be used.
+    /// Returns the home of an object in `region`: by rendezvous hashing among its usable warm
+    /// upstreams.
     pub(super) fn home_in(
         &self,
         object: u64,
@@ -76,7 +76,7 @@
             .max_by(|a, b| score(a).total_cmp(&score(b)))
     }
 
-    /// The upstream that a keeper advises, where this box may use it as well.
+    /// Returns the upstream that the coordinator advises, if this box may use it too.
     fn advised(
         &self,
         advice: &Advice,
--- a/crates/routing/src/placement/keeping.rs
+++ b/crates/routing/src/placement/keeping.rs
@@ -1,4 +1,4 @@
-//! Which box keeps an upstream's count, and what it answers.
+//! Selects the coordinator of each upstream, and answers queries on that box.
 
 use super::advice::{Advice, Ending, Question};
 use super::service_upstreams::{ServiceUpstreams, is_usable};
@@ -8,29 +8,29 @@
 use brasswinch_types::{BoxId, Millis};
 use std::collections::BTreeSet;
 
-/// Requests at an upstream that knows the object, in multiples of its slots, above which
-/// another one that is kept here is advised. A box waits longer, for what it would use instead
-/// stands in another region; with its limit here, late answers at upstreams that know their
-/// objects are 28 for 22 at most (replay, 45 boxes, full load).
+/// Largest number of requests, as a multiple of its slots, at an upstream already chosen for the
+/// object; from there on another upstream of this coordinator is advised. A box queues longer at a
+/// home, since its alternative is in another region; with that higher limit here there were up to
+/// 28 late answers at upstreams that had served their objects, compared with 22 (45 boxes, full
+/// load).
 const MOST_AT_KNOWN: f64 = 1.6;
 
-/// What an object adds to an upstream's burden, in slots: what its requests take once it is
-/// known, at 0.44 a second of 0.34 s each. It spreads first runs, when requests alone tell
-/// little; not measured by itself.
+/// Cost of each assigned object, in slots: the load of its later requests, at 0.44 per second of
+/// 0.34 s each. It spreads first runs, when request counts alone say little.
 const OBJECT_WEIGHT: f64 = 0.15;
 
-/// What speaks against an upstream that isn't the object's home, in multiples of slots: a
-/// keeper that starts again has forgotten what it sent there. Worth of all answers where all
-/// boxes start again, at 0.05, 0.4 and 0.8: 0.847, 0.871, 0.884; under full load 0.904,
-/// 0.904, 0.900 (replay, 60 boxes, two seeds).
+/// Cost of an upstream that isn't the object's home, as a multiple of its slots: a restarted
+/// coordinator has forgotten where it sent each object. With 0.05, 0.4 and 0.8 the total answer
+/// value was 0.847, 0.871 and 0.884 when all boxes restart, and 0.904, 0.904 and 0.900 under full
+/// load (60 boxes).
 const AWAY: f64 = 0.4;
 
-/// The boxes that keep counts for a region: those of the region that serve.
+/// The coordinators of a region: its serving boxes.
 #[derive(Debug, Default)]
 pub(super) struct Keepers {
     boxes: Vec<(BoxId, u64)>,
     me: Option<u64>,
-    /// Fewest boxes that ask each other.
+    /// Smallest number of boxes that coordinate.
     least: usize,
 }
 
@@ -48,8 +48,8 @@
         }
     }
 
-    /// The keeper of an upstream; the same on all boxes that know the same boxes. There is
-    /// none in a small region.
+    /// Returns the coordinator of an upstream, which is the same on all boxes with the same view
+    /// of the region; `None` in a small region.
     fn of(&self, upstream: u64) -> Option<&BoxId> {
         if self.boxes.len() < self.least {
             return None;
@@ -62,7 +62,7 @@
         Some(&keeper.0)
     }
 
-    /// Whether this box is the upstream's keeper.
+    /// Whether this box is the upstream's coordinator.
     pub(super) fn is_mine(&self, upstream: u64) -> bool {
         let Some(me) = self.me else {
             return false;
@@ -78,7 +78,7 @@
 }
 
 impl Placement {
-    /// Takes the boxes of the own region that serve, this one included if it does.
+    /// Sets the serving boxes of the own region, including this one if it serves.
     pub fn set_keepers(&mut self, boxes: Vec<BoxId>) {
         let is_same = self.keepers.boxes.iter().map(|(id, _)| id).eq(&boxes);
         if is_same {
@@ -92,8 +92,8 @@
         }
     }
 
-    /// What to ask before the request is sent, and which box; `None` where nobody can be
-    /// asked. `id` names the question.
+    /// Returns the query to send before the request, and the coordinator to send it to; `None` if
+    /// there is none. `id` identifies the query.
     pub fn question(
         &mut self,
         wanted: &Wanted<'_>,
@@ -101,7 +101,7 @@
         left_ms: Millis,
         now: Millis,
     ) -> Option<(BoxId, Question)> {
-        // What names no object has no home to ask for.
+        // Without an object there is no home.
         wanted.object?;
         self.review_if_due(now);
         let service = self.services.get(wanted.service)?;
@@ -122,14 +122,15 @@
         Some((keeper, question))
     }
 
-    /// Answers another box, or this one, and counts its request; `None` where no upstream
+    /// Answers a query of another box or this one and counts its request; `None` if no upstream
     /// can be advised.
     pub fn advise(&mut self, question: &Question, now: Millis) -> Option<Advice> {
         let service = self.services.get_mut(&question.service)?;
         service.advise(question, now)
     }
 
-    /// A request ended that this box was asked about, or may have been.
+    /// Handles the completion report of a request that this box was, or may have been, queried
+    /// about.
     pub fn ended_elsewhere(&mut self, ending: &Ending, now: Millis) {
         if let Some(service) = self.services.get_mut(&ending.service) {
             service.ended_elsewhere(ending, now);
@@ -153,8 +154,8 @@
         Some(advice)
     }
 
-    /// The upstream that knows the object, unless it is too full; else the home, unless
-    /// another one has more room.
+    /// Returns the upstream already chosen for the object, unless it is too full; otherwise the
+    /// one with the lowest cost. A full upstream keeps the object if that one has no free slot.
     fn advised_for(&mut self, question: &Question, now: Millis) -> Option<usize> {
         let candidates = self.candidates(question, now);
         for index in &candidates {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// What speaks against sending an object there that it doesn't know.
+    /// Returns the cost of sending an object to an upstream that wasn't chosen for it before.
     fn burden(&self, index: usize, question: &Question, now: Millis) -> f64 {
         let entry = &self.entries[index];
         let slots = f64::from(entry.record.slots.max(1));
@@ -190,7 +191,8 @@
         entry.shared_fullness(now) + objects * OBJECT_WEIGHT + away
     }
 
-    /// Upstreams that this box may advise: the home, and those that it keeps in its region.
+    /// Returns the upstreams that this box may advise: the home, and those that it coordinates in
+    /// the region.
     fn candidates(&self, question: &Question, now: Millis) -> Vec<usize> {
         let anywhere = BTreeSet::new();
         let wanted = Wanted {
--- a/crates/routing/src/placement/lost_entries.rs
+++ b/crates/routing/src/placement/lost_entries.rs
@@ -1,44 +1,44 @@
-//! Tells upstreams that left from upstreams whose entries the store lost.
+//! Distinguishes upstreams that left from upstreams whose entries the store lost.
 //!
-//! An upstream that leaves takes its own entry away. Where many entries go at the same
-//! moment it is rather their leases that ran out, because the store was away or cut off
-//! from a part of the upstreams; those that live write them again.
+//! An upstream that leaves deletes its own entry. If many entries vanish at once, their leases
+//! have probably expired because the store was down or cut off from some of the upstreams; those
+//! that still run write their entries again.
 //!
-//! One that leaves meanwhile looks like the others. So what is kept is kept for a time
-//! from when its entry was last known to be there: it left after that, and gets nothing
-//! longer than that time after it left, however long the news took. Only where the store
-//! itself has failed this box since, the time counts from now.
+//! An upstream that leaves during such a loss looks the same. Lost entries are therefore retained
+//! for a limited time from when they were last known to exist: an upstream that left did so after
+//! that, so it gets no requests for longer than that time after it left, however long the update
+//! took. Only if the store itself has failed for this box since then does the time start now.
 
 use super::entry::{Entry, Lost};
 use crate::fleet_state::FleetState;
 use brasswinch_types::{Millis, Service};
 use std::collections::HashMap;
 
-/// Where more than this part of a service's upstreams lose their entries at once, the
-/// store is taken to have lost the entries rather than the service its upstreams.
+/// If more than this fraction of a service's upstreams lose their entries at once, the store is
+/// assumed to have lost the entries, and not the service its upstreams.
 const SERVICE_LOSS_PART: f64 = 0.34;
 
-/// Where more than this part of the upstreams of all services lose their entries at once,
-/// the store itself is taken to have been away.
+/// If more than this fraction of all services' upstreams lose their entries at once, the store
+/// itself is assumed to have been down.
 const FLEET_LOSS_PART: f64 = 0.5;
 
-/// Time in which upstreams that live are back once the store has been away.
+/// Time in which running upstreams write their entries again after a store outage.
 const BACK_AFTER_OUTAGE_MS: Millis = 2_000;
 
-/// The entries that an update no longer brought, and how many it brought.
+/// Entries that are missing from an update, and the number that remain.
 pub(super) struct Losses {
     lost: Vec<Entry>,
     left: HashMap<Service, usize>,
 }
 
 impl Losses {
-    /// `left` are the entries that each service still has.
+    /// Creates the comparison; `left` is the number of remaining entries of each service.
     pub(super) fn new(lost: Vec<Entry>, left: HashMap<Service, usize>) -> Self {
         Self { lost, left }
     }
 
-    /// The entries that stay in use for now. `keep_ms` is how long those of a service
-    /// stay that lost many at once.
+    /// Returns the entries that stay in use for now. `keep_ms` is the retention time after a loss
+    /// that affects one service.
     pub(super) fn kept(self, keep_ms: Millis, fleet: &FleetState, now: Millis) -> Vec<Entry> {
         let after_outage_ms = if self.is_fleet_loss() {
             keep_ms.max(BACK_AFTER_OUTAGE_MS)
@@ -56,7 +56,7 @@
         let mut kept = self.lost;
         kept.retain_mut(|entry| {
             if entry.lost.is_none() && mass_losses.contains(&entry.record.service) {
-                // Where nothing tells when it was there, it isn't kept.
+                // An entry with an unknown time of last existence isn't retained.
                 entry.lost = Some(Lost {
                     heard_at: now,
                     kept_until: kept_until(entry).unwrap_or(now),
@@ -72,7 +72,7 @@
         is_more_than(FLEET_LOSS_PART, self.lost.len(), left)
     }
 
-    /// Services that lost more than one of their upstreams, and a large part of them.
+    /// Returns the services that lost more than one upstream and a large fraction of them.
     fn mass_losses(&self) -> Vec<Service> {
         let mut lost: HashMap<&Service, usize> = HashMap::new();
         for entry in &self.lost {
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -1,16 +1,16 @@
 //! Chooses the upstream of a request.
 //!
-//! An object has a home: a region, by the region plan, and one upstream there, by
-//! rendezvous, so that upstreams see the same objects again. Each other region has a home
-//! for it too, in the order of the plan. In this order a request goes
+//! Each object has a home: a region, from the region plan, and one upstream in it, from rendezvous
+//! hashing, so that upstreams see the same objects again. The object also has a home in every
+//! other region, in the order of the plan. A request goes to the first of these that accepts it:
 //!
-//! 1. to an upstream that joined a while ago and never got a request,
-//! 2. home, where a slot is free, or where the home knows the object and the wait is short,
-//! 3. to a free slot of its home in another region, as far as the spill window allows,
-//! 4. into the queue at home, then at its other homes, then, longer, at home again,
-//! 5. to a cold upstream whose turn it is;
+//! 1. an upstream that joined a while ago and has never received a request,
+//! 2. the home, if a slot is free, or if the home has served the object and the wait is short,
+//! 3. a free slot of a home in another region, within the spill window,
+//! 4. the queue of the home, then of the other homes, then again of the home with a higher limit,
+//! 5. a cold upstream that is due for a request.
 //!
-//! and where none of these takes it, it is refused at once.
+//! If none accepts it, the request is refused at once.
 
 mod advice;
 mod basis;
@@ -46,30 +46,31 @@
 use std::net::SocketAddr;
 use warming::Warming;
 
-/// Between two looks at room.
+/// Interval between reviews of upstream capacity.
 const REVIEW_MS: Millis = 500;
 
-/// Added to every cold time, for the way of the news.
+/// Added to every cold period to cover the propagation delay of updates.
 const COLD_MARGIN_MS: Millis = 500;
 
-/// What placement needs to know of its box and of the bounds.
+/// Settings of placement on one box.
 #[derive(Clone, Debug)]
 pub struct PlacementSettings {
-    /// The box.
+    /// This box.
     pub me: BoxId,
-    /// Its region: where its callers are.
+    /// The region of this box and its callers.
     pub region: Region,
-    /// Regions by zone.
+    /// The region of each zone.
     pub zones: BTreeMap<Zone, Region>,
-    /// Most of a region's requests that may change region of execution in a window.
+    /// Largest fraction of a region's requests that may change region of execution within a
+    /// window.
     pub most_shift: f64,
-    /// How long upstreams that lost their entries together may still be used, from when
-    /// those are last known to have been there: time to write them again.
+    /// How long upstreams whose entries were lost together stay in use, in milliseconds, counted
+    /// from when the entries were last known to exist. It leaves time to write them again.
     pub keep_vanished_ms: Millis,
-    /// How long upstreams of a zone whose evacuation ended are taken for cold unless
-    /// their entries say more.
+    /// How long upstreams are treated as cold after the evacuation of their zone ends, in
+    /// milliseconds, unless their entries ask for longer.
     pub after_evacuation_ms: Millis,
-    /// Fewest boxes of a region that ask each other about upstreams' load.
+    /// Smallest number of boxes in a region for which upstream load is coordinated among them.
     pub least_keepers: usize,
 }
 
@@ -78,38 +79,38 @@
 pub struct Wanted<'a> {
     /// The service.
     pub service: &'a Service,
-    /// The object it is about, if it names one.
+    /// The object of the request, if it names one.
     pub object: Option<&'a [u8]>,
-    /// How urgent it is.
+    /// The priority of the request.
     pub rank: Rank,
     /// The regions allowed.
     pub regions: RegionLimits<'a>,
-    /// Upstreams that it was already sent to.
+    /// Upstreams that the request was already sent to.
     pub tried: &'a [UpstreamId],
 }
 
 /// The chosen upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Choice {
-    /// What it was based on.
+    /// The state that the decision was based on.
     pub basis: Basis,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Which of its lives.
+    /// Start time of the chosen incarnation.
     pub started: Option<UpstreamStart>,
     /// Its service.
     pub service: Service,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The zone of the upstream.
     pub zone: Zone,
-    /// How long ago the box heard that the upstream's entry was lost together with many
-    /// others, in milliseconds; `None` while the entry is there.
+    /// How long ago this box learned that the upstream's entry was lost together with many others,
+    /// in milliseconds; `None` while the entry exists.
     pub lost_ms: Option<Millis>,
 }
 
 impl Choice {
-    /// The life of the upstream that was chosen.
+    /// Returns the incarnation of the chosen upstream.
     pub fn life(&self) -> UpstreamLife {
         UpstreamLife {
             upstream: self.upstream.clone(),
@@ -118,57 +119,57 @@
     }
 }
 
-/// What an update of the upstreams brought.
+/// The result of an update of the upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Updated {
-    /// Upstreams whose entries were lost since the last time and that stay in use for now.
+    /// Upstreams whose entries were lost since the last update and that stay in use for now.
     pub kept: Vec<UpstreamId>,
-    /// Upstreams that started again under their name.
+    /// Upstreams that restarted under the same name.
     pub restarted: Vec<UpstreamId>,
 }
 
 /// Why no upstream was chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Refusal {
-    /// The service has no upstream that may be used.
+    /// The service has no upstream that the request may use.
     NoUpstream,
-    /// All are full.
+    /// All upstreams are full.
     Busy {
-        /// When to come back, in milliseconds.
+        /// When to retry, in milliseconds.
         retry_after_ms: Millis,
-        /// What that was based on.
+        /// The state that the decision was based on.
         basis: Basis,
     },
 }
 
-/// How a request at an upstream ended.
+/// The outcome of a request at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamOutcome {
-    /// It answered.
+    /// The upstream answered.
     Answered,
-    /// It said that it did not run the request.
+    /// The upstream answered that it did not run the request.
     Shed,
-    /// Another upstream has its address now.
+    /// Another upstream now uses the address.
     Replaced,
     /// No connection could be made.
     Unreachable,
-    /// It was sent and got no answer.
+    /// The request was sent and got no answer.
     Unanswered,
-    /// It was given up for reasons of our own.
+    /// This box gave up the request for reasons unrelated to the upstream.
     Abandoned,
 }
 
-/// All services' upstreams as one box sees them.
+/// The upstreams of all services as one box sees them.
 #[derive(Debug)]
 pub struct Placement {
     settings: PlacementSettings,
     services: HashMap<Service, ServiceUpstreams>,
     said: SaidByUpstreams,
-    /// Hashes of the boxes that serve, this one included.
+    /// Hashes of the serving boxes, including this one.
     boxes: Vec<u64>,
-    /// Boxes of the whole fleet, whether they are heard or not.
+    /// Number of boxes in the whole fleet, reachable or not.
     fleet_size: usize,
-    /// The boxes of the region, which count its upstreams' requests.
+    /// The boxes of the region, which coordinate the load of its upstreams.
     keepers: Keepers,
     demand: BTreeMap<Region, f64>,
     averaged_demand: AveragedDemand,
@@ -176,7 +177,7 @@
 }
 
 impl Placement {
-    /// Knows no upstreams yet.
+    /// Creates a placement without upstreams.
     pub fn new(settings: PlacementSettings) -> Self {
         let me = object_hash("box", settings.me.as_str().as_bytes());
         Self {
@@ -192,8 +193,8 @@
         }
     }
 
-    /// Takes the serving boxes, this one included, and the requests a second that
-    /// callers of each region send.
+    /// Sets the serving boxes, including this one, and the requests per second of the callers in
+    /// each region.
     pub fn set_boxes<'a>(
         &mut self,
         boxes: impl Iterator<Item = &'a BoxId>,
@@ -205,12 +206,13 @@
         self.demand = demand;
     }
 
-    /// Takes how many boxes the fleet has, whether they are heard or not.
+    /// Sets the number of boxes in the fleet, reachable or not.
     pub fn set_fleet_size(&mut self, boxes: usize) {
         self.fleet_size = boxes;
     }
 
-    /// Takes what is known of upstreams; returns what operators and connections have to know.
+    /// Applies the known upstreams and the configuration, and returns the changes that operators
+    /// and connections need to know.
     pub fn update(&mut self, fleet: &FleetState, config: &SteeringConfig, now: Millis) -> Updated {
         let mut held: HashMap<UpstreamId, Entry> = HashMap::new();
         for service in self.services.values_mut() {
@@ -223,7 +225,7 @@
             addresses.insert(record.address);
             let mut same = held.remove(&record.id);
             if same.as_ref().is_some_and(|held| !held.is_same_life(record)) {
-                // It holds and knows nothing of before.
+                // A restarted process keeps no requests or objects of its previous incarnation.
                 restarted.push(record.id.clone());
                 same = None;
             }
@@ -249,8 +251,8 @@
         Updated { kept, restarted }
     }
 
-    /// Keeps upstreams whose entries were lost together, for as long as writing them again
-    /// takes. Upstreams that vanish one by one have left.
+    /// Retains upstreams whose entries were lost together for as long as it takes to write them
+    /// again. Upstreams that vanish one at a time have left.
     fn keep_lost_entries(
         &mut self,
         lost: Vec<Entry>,
@@ -311,7 +313,8 @@
             joined_at: held.as_ref().map_or(now, |held| held.joined_at),
             is_used: match &held {
                 Some(held) => held.is_used,
-                // One that is there before the first request will get its part of them.
+                // An upstream that exists before the service's first request gets its share
+                // anyway.
                 None => !self.is_in_use(&record.service),
             },
             is_evacuated: fleet.is_evacuated(&record.zone),
@@ -334,7 +337,7 @@
         }
     }
 
-    /// Looks at room again, where that is due.
+    /// Reviews upstream capacity if the review interval has passed.
     pub fn review_if_due(&mut self, now: Millis) {
         if now.saturating_sub(self.reviewed_at) >= REVIEW_MS {
             self.review(now);
@@ -346,7 +349,7 @@
         let regions: BTreeSet<&Region> = self.settings.zones.values().collect();
         self.averaged_demand.add(&self.demand, now);
         let demand = self.averaged_demand.planned(&self.demand);
-        // An object's requests come from one region, so its boxes share the object's home.
+        // An object's requests come from one region, so the boxes of that region share its home.
         let senders = (self.boxes.len() as f64 / regions.len().max(1) as f64).max(1.0);
         for service in self.services.values_mut() {
             service.entries.retain(|entry| entry.is_held(now));
@@ -377,8 +380,8 @@
         self.choose_advised(wanted, None, random, now)
     }
 
-    /// Chooses as [`Placement::choose`] does, given what the keeper of the object's home
-    /// said.
+    /// Chooses as [`Placement::choose`] does, with the advice of the coordinator of the object's
+    /// home.
     pub fn choose_advised(
         &mut self,
         wanted: &Wanted<'_>,
@@ -402,7 +405,7 @@
         chosen
     }
 
-    /// A request that was given to `choice` ended.
+    /// Records how a request that was sent to `choice` ended.
     pub fn ended(&mut self, choice: &Choice, outcome: UpstreamOutcome, now: Millis) {
         let Some(entry) = self.held(choice) else {
             return;
@@ -427,15 +430,15 @@
         }
     }
 
-    /// An upstream told its load.
+    /// Records a load report of an upstream.
     pub fn reported(&mut self, choice: &Choice, report: LoadReport, now: Millis) {
         if let Some(entry) = self.held(choice) {
             entry.load.reported(report, now);
         }
     }
 
-    /// The request for which `choice` was made isn't sent: the upstream's limit leaves this box
-    /// no room before `until`.
+    /// Drops a request before it is sent because the upstream's limit leaves this box no capacity
+    /// until `until`.
     pub fn hold_off(&mut self, choice: &Choice, until: Millis, now: Millis) {
         self.ended(choice, UpstreamOutcome::Abandoned, now);
         if let Some(entry) = self.held(choice) {
@@ -443,13 +446,13 @@
         }
     }
 
-    /// Whether a request may still be sent to the upstream that it was given to.
+    /// Whether a request may still be sent to the upstream chosen for it.
     pub fn may_send(&mut self, choice: &Choice, now: Millis) -> bool {
         let held = self.held(choice);
         held.is_some_and(|entry| entry.takes_requests(now) && !entry.said.is_resting(now))
     }
 
-    /// Whether this life of the upstream is known.
+    /// Whether this incarnation of the upstream is known.
     pub fn holds(&self, life: &UpstreamLife) -> bool {
         self.entry_of(life).is_some()
     }
--- a/crates/routing/src/placement/said.rs
+++ b/crates/routing/src/placement/said.rs
@@ -1,29 +1,29 @@
-//! What upstreams said of themselves in answers. It holds for as long as an upstream lives,
-//! also where its entry is lost meanwhile and comes back.
+//! Signals that upstreams send about themselves in answers. A signal is valid for one incarnation
+//! of an upstream, also if its entry is lost and comes back.
 
 use super::{COLD_MARGIN_MS, Choice, Placement};
 use crate::upstream::UpstreamLife;
 use brasswinch_types::{Millis, UpstreamRest};
 use std::collections::{HashMap, VecDeque};
 
-/// Most upstreams whose words are kept; the oldest are forgotten first. Of 100 bytes each they
-/// take 0.4 MB.
+/// Upstreams whose signals are stored; the oldest are evicted first. At 100 bytes each they take
+/// 0.4 MB.
 const MOST_KEPT: usize = 4_096;
 
-/// What one upstream said of itself.
+/// Signals of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Said {
-    /// It takes nothing new.
+    /// Whether it accepts no new requests.
     pub(super) is_leaving: bool,
-    /// It wants nothing from this box before then; `None` once it has answered a request since.
+    /// It asked this box to back off until then; `None` once it has answered a request since.
     pub(super) rests_until: Option<Millis>,
-    /// It was asked, and said that it is cold.
+    /// The cold period that it reported in a health answer.
     pub(super) cold: Option<SaidCold>,
-    /// It has said something that can't be read.
+    /// Whether it has sent a signal that can't be parsed.
     pub(super) is_unreadable: bool,
 }
 
-/// An upstream's word that it is cold.
+/// A report of an upstream that it is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct SaidCold {
     heard_at: Millis,
@@ -31,39 +31,39 @@
 }
 
 impl Said {
-    /// Until when it said that it is cold, where its entry has not changed since `learned_at`: an
-    /// entry that came later knows better.
+    /// Returns the end of the reported cold period if the entry has not changed since
+    /// `learned_at`; a later entry takes precedence.
     pub(super) fn cold_until(&self, learned_at: Millis) -> Option<Millis> {
         let cold = self.cold.filter(|cold| cold.heard_at >= learned_at)?;
         Some(cold.until)
     }
 
-    /// Whether it wants nothing from this box now.
+    /// Whether it asked this box to back off now.
     pub(super) fn is_resting(&self, now: Millis) -> bool {
         self.rests_until.is_some_and(|until| now < until)
     }
 
-    /// Whether it has asked for rest, and nothing has shown since that it serves again.
+    /// Whether its backoff has ended and no request has succeeded since.
     pub(super) fn is_on_trial(&self, now: Millis) -> bool {
         self.rests_until.is_some_and(|until| now >= until)
     }
 }
 
-/// What all upstreams said that did say something.
+/// The signals of all upstreams that sent any.
 #[derive(Debug, Default)]
 pub(super) struct SaidByUpstreams {
     kept: HashMap<UpstreamLife, Said>,
-    /// Those that are kept, oldest first.
+    /// Stored incarnations, oldest first.
     order: VecDeque<UpstreamLife>,
 }
 
 impl SaidByUpstreams {
-    /// What a life of an upstream has said.
+    /// Returns the signals of an incarnation of an upstream.
     pub(super) fn of(&self, life: &UpstreamLife) -> Said {
         self.kept.get(life).copied().unwrap_or_default()
     }
 
-    /// Keeps what it says now.
+    /// Stores the signals of an incarnation.
     pub(super) fn keep(&mut self, life: UpstreamLife, said: Said) {
         if self.kept.insert(life.clone(), said).is_some() {
             return;
@@ -78,14 +78,14 @@
 }
 
 impl Placement {
-    /// The upstream says in an answer that it takes nothing new; gives whether that is news.
+    /// Records a signal that the upstream is leaving; returns whether that is new.
     pub fn leaves(&mut self, choice: &Choice) -> bool {
         let before = self.change_said(choice, |said| said.is_leaving = true);
         !before.is_leaving
     }
 
-    /// The upstream refused a request and wants nothing from this box for a time; gives whether it
-    /// did not rest yet.
+    /// Records a refusal with a requested backoff; returns whether the upstream wasn't already
+    /// backing off.
     pub fn rests(&mut self, choice: &Choice, rest: UpstreamRest, now: Millis) -> bool {
         if rest.ms() == 0 {
             return false;
@@ -97,20 +97,20 @@
         !before.is_resting(now)
     }
 
-    /// The upstream says something in an answer that can't be read; gives whether that is news.
+    /// Records a signal in an answer that can't be parsed; returns whether it is the first one.
     pub fn says_unreadable(&mut self, choice: &Choice) -> bool {
         self.health_is_unreadable(&choice.life())
     }
 
-    /// The upstream says something in a health answer that can't be read; gives whether it is the
-    /// first such thing that it says.
+    /// Records a signal in a health answer that can't be parsed; returns whether it is the first
+    /// one.
     pub fn health_is_unreadable(&mut self, life: &UpstreamLife) -> bool {
         let before = self.change_said_by(life, |said| said.is_unreadable = true);
         !before.is_unreadable
     }
 
-    /// The upstream says that it stays cold for `for_ms`, of which no more than its service's cold
-    /// period is believed; gives whether it was not known to be cold.
+    /// Records that the upstream stays cold for `for_ms`, capped at the cold period of its
+    /// service; returns whether it wasn't known to be cold.
     pub fn turned_cold(&mut self, life: &UpstreamLife, for_ms: Millis, now: Millis) -> bool {
         let Some(longest_ms) = self.cold_period_ms(life) else {
             return false;
@@ -128,29 +128,29 @@
         !was_cold
     }
 
-    /// Whether this life of the upstream is known to be cold.
+    /// Whether this incarnation of the upstream is known to be cold.
     pub fn is_cold(&self, life: &UpstreamLife, now: Millis) -> bool {
         let entry = self.entry_of(life);
         entry.is_some_and(|entry| entry.is_cold(now))
     }
 
-    /// How long upstreams of its service are cold at most.
+    /// Returns the longest cold period of the upstream's service, in milliseconds.
     fn cold_period_ms(&self, life: &UpstreamLife) -> Option<Millis> {
         let service = &self.entry_of(life)?.record.service;
         Some(self.services.get(service)?.cold_period_ms)
     }
 
-    /// The upstream has answered a request since its rest.
+    /// Ends the backoff after the upstream has answered a request.
     pub(super) fn serves_again(&mut self, choice: &Choice) {
         self.change_said(choice, |said| said.rests_until = None);
     }
 
-    /// Changes what the upstream of `choice` has said; gives what that was before.
+    /// Updates the signals of the chosen upstream; returns the previous ones.
     fn change_said(&mut self, choice: &Choice, change: impl FnOnce(&mut Said)) -> Said {
         self.change_said_by(&choice.life(), change)
     }
 
-    /// Changes what an upstream has said; gives what that was before.
+    /// Updates the signals of an upstream; returns the previous ones.
     fn change_said_by(&mut self, life: &UpstreamLife, change: impl FnOnce(&mut Said)) -> Said {
         let before = self.said.of(life);
         let mut said = before;
--- a/crates/routing/src/placement/service_upstreams.rs
+++ b/crates/routing/src/placement/service_upstreams.rs
@@ -1,4 +1,4 @@
-//! The upstreams of one service, and the choice among them.
+//! The upstreams of one service and the choice among them.
 
 use super::advice::Advice;
 use super::basis::{AdvisedHome, Basis, Home, HomeState};
@@ -13,39 +13,38 @@
 use crate::workspace::Rank;
 use brasswinch_types::{Millis, Region};
 
-/// Requests at an upstream, in multiples of its slots, above which it gets no more. With this
-/// and the next two limits, for 1.7, 1.9 and 1.6: worth of all answers 0.014 ± 0.014 where
-/// upstreams have three slots (4 paired days).
+/// Queue limit: requests at an upstream, as a multiple of its slots, from which on it gets no
+/// more. Compared with 1.7, 1.9 and 1.6 for this limit and the next two, the total answer value
+/// changed by 0.014 ± 0.014 with three slots per upstream.
 const MOST_QUEUE: f64 = 2.4;
 
-/// The same for a request about an object that the upstream has not served for this box:
-/// it takes longer, and a queue of such requests would leave no room to get faster. Worth
-/// of a whole day's answers: 0.005 ± 0.004 (12 paired days).
+/// Queue limit for a request for an object that the upstream has not served for this box: such a
+/// request takes longer, and a queue of them leaves the upstream no time to serve known objects
+/// faster. It raises the total answer value by 0.005 ± 0.004.
 const MOST_QUEUE_UNSERVED: f64 = 1.35;
 
-/// The same where no other region may take the request: it waits rather than being
-/// refused, as long as it can still be served.
+/// Queue limit if no other region may take the request: it waits instead of being refused, as long
+/// as it can still be served.
 const LONGEST_QUEUE: f64 = 2.6;
 
-/// Requests at a home that knows the object, in multiples of its slots, up to which a
-/// request waits there rather than taking a free slot elsewhere: a first run takes some
-/// three times as long, and leaves a copy that is seldom asked for again. Worth of all
-/// answers, at 1.6 against none: 0.010 ± 0.002 and 0.006 ± 0.002 (two loads, 12 paired days
-/// each).
+/// Requests at a home that has served the object, as a multiple of its slots, below which a
+/// request waits there and doesn't take a free slot elsewhere: a first run takes about three times
+/// as long and leaves a copy that is seldom requested again. Compared with not waiting, 1.6 raised
+/// the total answer value by 0.010 ± 0.002 and 0.006 ± 0.002 (two loads).
 const QUEUE_BEFORE_LEAVING: f64 = 2.2;
 
-/// Part of each queue that less urgent requests may use while urgent ones of their
-/// service are refused: the rest is kept for those. Worth of all answers: 0.0013 ± 0.0013
-/// where services share routes of two ranks, none shown elsewhere (12 paired days each).
+/// Fraction of each queue limit that less urgent requests may use while urgent requests of the
+/// service are refused; the rest is reserved for urgent ones. It raises the total answer value by
+/// 0.0013 ± 0.0013 where services share routes of two ranks, with no effect shown elsewhere.
 const LESS_URGENT_PART: f64 = 0.8;
 
-/// How long that lasts after an urgent request was refused.
+/// How long the reservation lasts after an urgent request was refused.
 const URGENT_FIRST_MS: Millis = 2_000;
 
-/// How long a service counts as disturbed after its upstreams are all back.
+/// How long a service counts as disturbed after all of its upstreams are back.
 const DISTURBED_MS: Millis = 3_000;
 
-/// Retry times that a refused caller is told, in milliseconds.
+/// Shortest retry time sent to refused callers.
 const REFUSED_RETRY_MS: Millis = 150;
 
 /// The upstreams of one service.
@@ -54,11 +53,11 @@
     pub(super) entries: Vec<Entry>,
     pub(super) plan: RegionPlan,
     pub(super) cold_per_s: f64,
-    /// How long its upstreams are cold at most.
+    /// Longest cold period of its upstreams.
     pub(super) cold_period_ms: Millis,
-    /// Rank of the most urgent requests that come here.
+    /// Rank of the most urgent requests for the service.
     pub(super) most_urgent: Rank,
-    /// A request for it has come to this box.
+    /// Whether this box has received a request for the service.
     pub(super) is_in_use: bool,
     urgent_first_until: Millis,
     spills: SpillWindow,
@@ -100,8 +99,8 @@
         }
     }
 
-    /// When to come back, in milliseconds: at once where queues are full, and not before the first
-    /// upstream has room where limits and rests leave none at any.
+    /// Returns the time until a retry is useful, in milliseconds: the minimum if only queues are
+    /// full; if limits and backoffs block all upstreams, no earlier than the first of them ends.
     fn room_in_ms(&self, wanted: &Wanted<'_>, now: Millis) -> Millis {
         let entries = self.entries.iter();
         let taking = entries.filter(|entry| entry.takes_requests(now) && is_allowed(entry, wanted));
@@ -125,8 +124,7 @@
         }
     }
 
-    /// What is known of the object's home, the first in the first region, whether it can
-    /// be used or not.
+    /// Returns the state of the object's home in the first region, whether or not it is usable.
     fn basis(&self, object: u64, regions: &[Region], wanted: &Wanted<'_>, now: Millis) -> Basis {
         let region = regions.first();
         let score = |entry: &&Entry| rendezvous_score(object, entry);
@@ -155,7 +153,8 @@
             .any(|entry| entry.takes_requests(now) && is_allowed(entry, wanted))
     }
 
-    /// Regions with usable upstreams, the object's home first.
+    /// Returns the regions with upstreams that accept requests, the one of the object's home
+    /// first.
     pub(super) fn ranked_regions(
         &self,
         object: u64,
@@ -180,7 +179,7 @@
             .collect()
     }
 
-    /// The first home, where a slot is free or the wait is short.
+    /// Returns the first home if a slot is free or the wait is short.
     fn at_home(&self, homes: &[SeenHome], wanted: &Wanted<'_>, now: Millis) -> Option<usize> {
         let home = homes.first()?;
         let most = if home.has_served {
@@ -191,7 +190,7 @@
         (home.fullness < most).then_some(home.index)
     }
 
-    /// A home in another region with a free slot, where the spill window allows.
+    /// Returns a home in another region with a free slot, within the spill window.
     fn free_elsewhere(&mut self, homes: &[SeenHome]) -> Option<usize> {
         if !self.spills.may_spill() {
             return None;
@@ -202,8 +201,8 @@
         Some(free.index)
     }
 
-    /// The first home whose queue is short enough, as far as the spill window allows; else
-    /// the first of all, up to its longest queue.
+    /// Returns the first home whose queue is short enough, within the spill window; otherwise the
+    /// first of all, up to a higher queue limit.
     fn in_queue(&mut self, homes: &[SeenHome], wanted: &Wanted<'_>, now: Millis) -> Option<usize> {
         let part = self.queue_part(wanted, now);
         let may_leave = self.is_disturbed(now) || self.spills.may_queue_elsewhere();
@@ -226,7 +225,8 @@
             .map(|home| home.index)
     }
 
-    /// The part of each queue that the request may use. A free slot is for everybody.
+    /// Returns the fraction of each queue limit that the request may use. Free slots are open to
+    /// all.
     fn queue_part(&self, wanted: &Wanted<'_>, now: Millis) -> f64 {
         if wanted.rank > self.most_urgent && now < self.urgent_first_until {
             LESS_URGENT_PART
@@ -244,8 +244,8 @@
             .sum()
     }
 
-    /// Notes whether upstreams are out for reasons of their own: the others have to make up
-    /// for them then, wherever they stand.
+    /// Marks the service as disturbed if an upstream is out of full service: the others then take
+    /// over its load, in any region.
     pub(super) fn review_disturbance(&mut self, now: Millis) {
         if self.entries.iter().any(|entry| entry.is_disturbed(now)) {
             self.disturbed_until = now + DISTURBED_MS;
@@ -257,7 +257,7 @@
     }
 }
 
-/// How well the upstream suits the object, by its slots.
+/// Returns the rendezvous score of an upstream for an object, weighted by its slots.
 pub(super) fn rendezvous_score(object: u64, entry: &Entry) -> f64 {
     weighted_score(object, entry.hash, f64::from(entry.record.slots.max(1)))
 }
--- a/crates/routing/src/placement/shared_load.rs
+++ b/crates/routing/src/placement/shared_load.rs
@@ -1,23 +1,24 @@
-//! The load of an upstream as its keeper counts it for all boxes of a region.
+//! The load of an upstream as its coordinator counts it for all boxes of a region.
 
 use crate::upstream_load::{LoadReport, UpstreamLoad};
 use brasswinch_types::Millis;
 use std::collections::{HashMap, VecDeque};
 
-/// Objects that a keeper remembers for one upstream.
+/// Number of objects remembered for each upstream.
 const MOST_OBJECTS: usize = 64;
 
-/// Longest time that a request is counted whose end was never told: its box died, or the
+/// Longest time a request is counted if no completion report arrives, because its box died or the
 /// message was lost.
 const LONGEST_COUNT_MS: Millis = 10_000;
 
-/// Counts an upstream's requests, and remembers which objects it was chosen for.
+/// Counts an upstream's requests and remembers the objects that it was chosen for.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SharedLoad {
     load: UpstreamLoad,
-    /// When each request is forgotten, by its question.
+    /// Expiry of each counted request, by query id.
     counted: HashMap<u64, Millis>,
-    /// Objects that it was chosen for lately, newest last, and whether it has served them.
+    /// Objects that the upstream was recently chosen for, newest last, and whether it has served
+    /// them.
     objects: VecDeque<(u64, bool)>,
 }
 
@@ -31,7 +32,7 @@
         self.remember(object, false);
     }
 
-    /// The request has ended; whether it was counted.
+    /// Removes an ended request; returns whether it was counted.
     pub(super) fn end(&mut self, question: u64) -> bool {
         let was_counted = self.counted.remove(&question).is_some();
         if was_counted {
@@ -40,23 +41,23 @@
         was_counted
     }
 
-    /// It has served a request about `object`.
+    /// Records that the upstream served a request for `object`.
     pub(super) fn served(&mut self, object: u64) {
         self.remember(object, true);
     }
 
-    /// It was not sent the request about `object` that it was chosen for.
+    /// Records that the request for `object` was not sent to the upstream chosen for it.
     pub(super) fn not_used(&mut self, object: u64) {
         self.objects
             .retain(|(held, has_served)| *held != object || *has_served);
     }
 
-    /// It told its load while the request that brings the report was still counted.
+    /// Records a load report. The request whose answer carried it must still be counted.
     pub(super) fn reported(&mut self, report: LoadReport, now: Millis) {
         self.load.reported(report, now);
     }
 
-    /// Forgets requests whose time is over.
+    /// Removes expired requests.
     pub(super) fn forget_overdue(&mut self, now: Millis) {
         let before = self.counted.len();
         self.counted.retain(|_, until| now < *until);
@@ -65,27 +66,27 @@
         }
     }
 
-    /// Whether requests are counted.
+    /// Whether any request is counted.
     pub(super) fn is_counting(&self) -> bool {
         !self.counted.is_empty()
     }
 
-    /// Whether it was chosen for `object` lately.
+    /// Whether the upstream was recently chosen for `object`.
     pub(super) fn is_chosen_for(&self, object: u64) -> bool {
         self.objects.iter().any(|(held, _)| *held == object)
     }
 
-    /// Whether it has served a request about `object` lately.
+    /// Whether the upstream has recently served a request for `object`.
     pub(super) fn has_served(&self, object: u64) -> bool {
         self.objects.contains(&(object, true))
     }
 
-    /// How many objects it was chosen for lately.
+    /// Returns the number of objects that the upstream was recently chosen for.
     pub(super) fn objects(&self) -> usize {
         self.objects.len()
     }
 
-    /// Requests there, in multiples of `slots`.
+    /// Returns the requests there as a multiple of `slots`.
     pub(super) fn fullness(&self, slots: u32, now: Millis) -> f64 {
         self.load.estimate(now) / f64::from(slots.max(1))
     }
--- a/crates/routing/src/placement/spill.rs
+++ b/crates/routing/src/placement/spill.rs
@@ -1,21 +1,21 @@
-//! Bounds how many requests leave their planned region for lack of room.
+//! Limits how many requests leave their planned region for lack of capacity.
 
 use brasswinch_types::Millis;
 
-/// Part of requests in the spill window that may leave their planned region for lack
-/// of room.
+/// Fraction of requests in the spill window that may leave their planned region for lack of
+/// capacity.
 const MOST_SPILL: f64 = 0.05;
 
-/// The same with requests that will have to wait there, in all.
+/// The same limit including requests that have to queue in the other region.
 const MOST_SPILL_TO_QUEUES: f64 = 0.12;
 
-/// Spills that are allowed in a window whatever the traffic.
+/// Spills allowed in each window regardless of traffic.
 const FREE_SPILLS: f64 = 1.0;
 
-/// The spill window.
+/// Length of the spill window.
 const SPILL_WINDOW_MS: Millis = 2_000;
 
-/// Counts requests and spills of the last window.
+/// Counts the requests and spills of the current and the last window.
 #[derive(Debug, Default)]
 pub(super) struct SpillWindow {
     began: Millis,
@@ -24,7 +24,7 @@
 }
 
 impl SpillWindow {
-    /// Begins a new window where the last one is over.
+    /// Starts a new window if the current one has ended.
     pub(super) fn roll(&mut self, now: Millis) {
         let elapsed = now.saturating_sub(self.began);
         if elapsed < SPILL_WINDOW_MS {
@@ -52,7 +52,7 @@
         self.is_under(MOST_SPILL)
     }
 
-    /// The same for one that would have to wait there.
+    /// Whether one more request may leave its planned region and queue elsewhere.
     pub(super) fn may_queue_elsewhere(&self) -> bool {
         self.is_under(MOST_SPILL_TO_QUEUES)
     }
--- a/crates/routing/src/placement/status.rs
+++ b/crates/routing/src/placement/status.rs
@@ -1,41 +1,42 @@
-//! What placement believes of each service's upstreams, for operators.
+//! The state of each service's upstreams, for operators.
 
 use super::Placement;
 use super::entry::Entry;
 use brasswinch_types::{Millis, Service, UpstreamId};
 use serde::{Deserialize, Serialize};
 
-/// The upstreams of a service, each counted once.
+/// Upstream counts of a service; each upstream is counted once.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceStatus {
     /// The service.
     pub service: Service,
-    /// Take any request.
+    /// Upstreams that accept any request.
     pub usable: usize,
-    /// Take a few requests: they were started or taken back lately.
+    /// Upstreams that get few requests: they started recently, or their zone was put back into
+    /// service recently.
     pub cold: usize,
-    /// Name a limit that leaves this box no room now.
+    /// Upstreams whose limit leaves this box no capacity now.
     pub held_off: usize,
-    /// Asked this box for rest.
+    /// Upstreams that asked this box to back off.
     pub resting: usize,
-    /// Failed lately, and are tried now and then.
+    /// Upstreams that failed recently and are probed now and then.
     pub left_out: usize,
-    /// Say that they leave.
+    /// Upstreams that announced that they are leaving.
     pub leaving: usize,
-    /// Stand in a zone that is to get nothing.
+    /// Upstreams in an evacuated zone.
     pub evacuated: usize,
-    /// Another upstream has their address.
+    /// Upstreams whose address another upstream now uses.
     pub replaced: usize,
-    /// Stay in use though their entries were lost, together with many others.
+    /// Upstreams that stay in use although their entries were lost together with many others.
     pub kept: Vec<KeptUpstream>,
 }
 
-/// An upstream that stays in use without an entry.
+/// An upstream that is retained without an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct KeptUpstream {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// How long ago the box heard that the entry was lost, in milliseconds.
+    /// How long ago this box learned that the entry was lost, in milliseconds.
     pub lost_ms: Millis,
     /// How much longer it stays in use, in milliseconds.
     pub kept_for_ms: Millis,
@@ -92,7 +93,7 @@
 }
 
 impl Placement {
-    /// What is believed of each service's upstreams, by the services' names.
+    /// Returns the upstream status of each service, sorted by service name.
     pub fn status(&self, now: Millis) -> Vec<ServiceStatus> {
         let status = |(name, upstreams): (&Service, &super::ServiceUpstreams)| {
             let mut status = ServiceStatus::new(name.clone());
--- a/crates/routing/src/placement/warming.rs
+++ b/crates/routing/src/placement/warming.rs
@@ -1,5 +1,5 @@
-//! Requests for upstreams that would get none by themselves: cold ones, paced by all boxes
-//! together, and those that joined and were never used.
+//! Requests for upstreams that would otherwise get none: cold ones, which all boxes pace together,
+//! and new ones that have never been used.
 
 use super::Wanted;
 use super::service_upstreams::{ServiceUpstreams, is_usable};
@@ -7,31 +7,31 @@
 use crate::rendezvous::weighted_score;
 use brasswinch_types::Millis;
 
-/// An upstream that got no request for this long after it joined gets one, whether it is
-/// needed or not: nothing else shows that it serves.
+/// An upstream without a request for this long after it joined gets one regardless of load, since
+/// nothing else shows that it serves.
 const FIRST_USE_MS: Millis = 4_000;
 
-/// Which boxes warm cold upstreams, and this one's dice.
+/// The boxes that warm cold upstreams, and this box's random draw.
 pub(super) struct Warming<'a> {
     pub(super) boxes: &'a [u64],
-    /// Boxes of the whole fleet, whether they are heard or not.
+    /// Number of boxes in the whole fleet, reachable or not.
     pub(super) fleet_size: usize,
     pub(super) me: u64,
     pub(super) random: f64,
 }
 
 impl Warming<'_> {
-    /// Whether this box is one of those that warm the upstream.
+    /// Whether this box is one of the boxes that warm the upstream.
     fn is_mine(&self, upstream: u64) -> bool {
         self.rank(upstream) < ColdPacing::warmers(self.boxes.len())
     }
 
-    /// Whether this box is the first of them.
+    /// Whether this box is the first of the boxes that warm the upstream.
     fn is_first(&self, upstream: u64) -> bool {
         self.rank(upstream) == 0
     }
 
-    /// Boxes that come before this one for the upstream.
+    /// Returns the number of boxes ranked before this one for the upstream.
     fn rank(&self, upstream: u64) -> usize {
         let mine = weighted_score(upstream, self.me, 1.0);
         let boxes = self.boxes.iter();
@@ -42,8 +42,8 @@
 }
 
 impl ServiceUpstreams {
-    /// An upstream that joined a while ago and never got a request, where this box is the
-    /// one to send it the first.
+    /// Returns an upstream that joined a while ago and has never received a request, if this box
+    /// is the one to send the first.
     pub(super) fn never_used(
         &self,
         wanted: &Wanted<'_>,
@@ -59,7 +59,8 @@
         })
     }
 
-    /// A cold upstream whose turn it is; this box must be one of those that warm it.
+    /// Returns a cold upstream that is due for a request, if this box is one of those that warm
+    /// it.
     pub(super) fn cold(
         &mut self,
         wanted: &Wanted<'_>,
--- a/crates/routing/src/refusals.rs
+++ b/crates/routing/src/refusals.rs
@@ -1,17 +1,17 @@
-//! How many requests were refused lately, and when they come back.
+//! Counts recently refused requests and spreads their retries over time.
 
 use brasswinch_types::Millis;
 
-/// The span in which refusals are counted.
+/// Window in which refusals are counted.
 const SPAN_MS: Millis = 1_000;
 
-/// Part of a time by which callers that were refused together are spread after its end.
+/// Fraction of a delay over which callers that were refused together are spread after its end.
 const SPREAD_PART: f64 = 0.25;
 
-/// Shortest span over which they are spread, in milliseconds.
+/// Shortest time over which they are spread.
 const LEAST_SPREAD_MS: f64 = 100.0;
 
-/// Requests refused lately: those of the span before, and of this one so far.
+/// Recently refused requests: those of the last window and of the current one so far.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Refusals {
     began: Millis,
@@ -32,24 +32,24 @@
         self.current += refused;
     }
 
-    /// Refusals a second: the larger of the two spans' counts.
+    /// Returns the refusals per second: the larger count of the two windows.
     pub(crate) fn per_s(&self) -> f64 {
         self.last.max(self.current)
     }
 
-    /// Whether the last span began within the last two.
+    /// Whether the current window began less than two windows ago.
     pub(crate) fn is_recent(&self, now: Millis) -> bool {
         now.saturating_sub(self.began) < 2 * SPAN_MS
     }
 }
 
-/// A time that is told, or kept, half as long to half as long again, so that what was
-/// refused together doesn't come back together. `random` is drawn from 0 to 1.
+/// Returns `ms` scaled by a random factor from 0.5 to 1.5, so that requests refused together don't
+/// retry together. `random` is drawn from 0 to 1.
 pub(crate) fn spread(ms: Millis, random: f64) -> Millis {
     (ms as f64 * (0.5 + random.clamp(0.0, 1.0))) as Millis
 }
 
-/// A time before which there is no use in coming back, or somewhat later.
+/// Returns `ms` plus a random delay, for a retry that is useless before `ms` is over.
 pub(crate) fn spread_later(ms: Millis, random: f64) -> Millis {
     let span = (ms as f64 * SPREAD_PART).max(LEAST_SPREAD_MS);
     ms + (span * random.clamp(0.0, 1.0)) as Millis
--- a/crates/routing/src/region_plan.rs
+++ b/crates/routing/src/region_plan.rs
@@ -1,35 +1,35 @@
-//! Which parts of a region's requests run in which region.
+//! Plans the share of a region's requests that each region executes.
 //!
-//! A region keeps its own requests as far as its upstreams have room in proportion; the
-//! rest goes where room is left over. The parts move slowly, so that the requests of a
-//! region never change their region of execution faster than the shift bound.
+//! A region keeps its own requests as long as its upstreams have proportional capacity; the rest
+//! goes where capacity is left over. Shares move slowly, so that requests change their region of
+//! execution no faster than the shift limit.
 
 use brasswinch_types::{Millis, Region};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A region may take this much more than its even part of the load to keep requests
-/// near their callers. At 1.6 its upstreams are full when others have room; worth of all
-/// answers at 1.25: 0.010 ± 0.007 and 0.006 ± 0.006 more (two loads, 12 paired days each).
+/// Factor by which a region may exceed its even share of the load to keep requests near their
+/// callers. At 1.6 its upstreams were full while others had capacity; 1.25 raised the total answer
+/// value by 0.010 ± 0.007 and 0.006 ± 0.006 (two loads).
 const LOCAL_PREFERENCE: f64 = 1.25;
 
-/// Part of the shift bound that the plan uses; the rest covers chance and spilling.
+/// Fraction of the shift limit that the plan uses; the rest covers randomness and spills.
 const USED_PART_OF_BOUND: f64 = 0.6;
 
-/// The window of the shift bound, in milliseconds.
+/// Window of the shift limit.
 const BOUND_WINDOW_MS: f64 = 2_000.0;
 
-/// One region's room and demand for a service.
+/// Capacity and demand of one region for a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RegionRoom {
     /// The region.
     pub region: Region,
     /// Slots of its usable upstreams.
     pub slots: f64,
-    /// Requests a second that its callers send, in any unit.
+    /// Request rate of its callers, in any unit.
     pub demand: f64,
 }
 
-/// The parts of one origin region's requests, by region of execution.
+/// The shares of one origin region's requests, by region of execution.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegionPlan {
     parts: BTreeMap<Region, f64>,
@@ -37,13 +37,13 @@
 }
 
 impl RegionPlan {
-    /// The part of `region`, from 0 to 1.
+    /// Returns the share of `region`, from 0 to 1.
     pub fn part(&self, region: &Region) -> f64 {
         self.parts.get(region).copied().unwrap_or(0.0)
     }
 
-    /// Moves toward what `rooms` asks for, at most as fast as `most_shift` allows. A
-    /// region without room gets nothing from now on.
+    /// Moves the shares toward the balance for `rooms`, no faster than `most_shift` allows. A
+    /// region without capacity gets nothing from now on.
     pub fn advance(&mut self, origin: &Region, rooms: &[RegionRoom], most_shift: f64, now: Millis) {
         let goal = goal(origin, rooms);
         let Some(moved_at) = self.moved_at.replace(now) else {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Takes regions without room out and spreads their part over the others.
+    /// Removes regions without capacity and distributes their shares over the others.
     fn drop_empty(&mut self, rooms: &[RegionRoom]) {
         let has_room = |region: &Region| {
             rooms
@@ -93,8 +93,8 @@
     }
 }
 
-/// The parts that balance load, with a preference for the origin. Where nothing is known
-/// of demand yet, each region is taken to ask alike.
+/// Returns the shares that balance load, with a preference for the origin. While no demand is
+/// known, all regions are assumed to have equal demand.
 fn goal(origin: &Region, rooms: &[RegionRoom]) -> BTreeMap<Region, f64> {
     if rooms.iter().all(|room| room.demand <= 0.0) {
         let asking_alike: Vec<RegionRoom> = rooms
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -1,20 +1,20 @@
-//! Keeps the repeats that all boxes send to a service under a shared bound, without a
-//! message: each box spends a part of its own requests and its part of the extra.
+//! Keeps the retries that all boxes send to a service below a shared limit without messages: each
+//! box spends a ratio of its own requests and its share of the fixed allowance.
 
 use brasswinch_types::Millis;
 
-/// Length of a bucket of the sliding window, in milliseconds.
+/// Length of a bucket of the sliding window.
 const BUCKET_MS: Millis = 500;
 
-/// Part of the bound that is used; the rest covers counts that lag.
+/// Fraction of the limit that is used; the rest covers counts that lag.
 const USED_PART: f64 = 0.7;
 
-/// The bound that all boxes keep together.
+/// The limit for all boxes together.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudgetSettings {
-    /// Repeats for each request.
+    /// Retries per request.
     pub ratio: f64,
-    /// Repeats in a window, whatever the requests.
+    /// Retries allowed in a window regardless of requests.
     pub extra: f64,
     /// The window, in milliseconds.
     pub window_ms: Millis,
@@ -27,7 +27,7 @@
     repeats: u32,
 }
 
-/// One box's part of the budget for one service.
+/// One box's share of the budget for one service.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -35,7 +35,7 @@
 }
 
 impl RetryBudget {
-    /// An unused budget.
+    /// Creates an unused budget.
     pub fn new(settings: RetryBudgetSettings) -> Self {
         let buckets = (settings.window_ms / BUCKET_MS + 1).max(2) as usize;
         Self {
@@ -44,12 +44,12 @@
         }
     }
 
-    /// Counts a request's first try.
+    /// Counts the first attempt of a request.
     pub fn count_request(&mut self, now: Millis) {
         self.bucket(now).requests += 1;
     }
 
-    /// Takes one repeat out, if one is left. `boxes` is the most boxes that may be
+    /// Spends one retry if one is available. `boxes` is the largest number of boxes that may be
     /// spending at the same time.
     pub fn spend(&mut self, boxes: usize, now: Millis) -> bool {
         if self.left(boxes, now) < 1.0 {
@@ -59,7 +59,7 @@
         true
     }
 
-    /// Repeats that are left; below 0 where the window's requests have become fewer.
+    /// Returns the available retries; below 0 if the window's requests have decreased.
     pub fn left(&self, boxes: usize, now: Millis) -> f64 {
         let newest = now / BUCKET_MS;
         let oldest = newest.saturating_sub(self.buckets.len() as u64 - 1);
--- a/crates/routing/src/route_table.rs
+++ b/crates/routing/src/route_table.rs
@@ -1,18 +1,18 @@
-//! Finds the route of a request: its host, then the longest prefix of its path.
+//! Finds the route of a request by host and longest path prefix.
 
 use crate::config::{Route, SteeringConfig};
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// The routes of one configuration, ready for look-up.
+/// The routes of one configuration, indexed for look-up.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     hosts: HashMap<String, HostRoutes>,
 }
 
-/// The routes of one host. There may be thousands, of which a look-up touches one for
-/// each length that prefixes have.
+/// The routes of one host. There may be thousands; a look-up checks one for each distinct prefix
+/// length.
 #[derive(Debug, Default)]
 struct HostRoutes {
     by_prefix: HashMap<String, Arc<Route>>,
@@ -21,7 +21,7 @@
 }
 
 impl RouteTable {
-    /// Sorts the routes of `config`.
+    /// Indexes the routes of `config`.
     pub fn new(config: &SteeringConfig) -> Self {
         let mut table = Self::default();
         for route in &config.routes {
@@ -31,7 +31,7 @@
         table
     }
 
-    /// The route of a request. A port in `host` doesn't matter, nor does its case.
+    /// Returns the route of a request, ignoring the port and the case of `host`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(host) {
--- a/crates/routing/src/split.rs
+++ b/crates/routing/src/split.rs
@@ -1,12 +1,12 @@
-//! Divides the requests of a route among its services in exact proportions.
+//! Splits the requests of a route among its services in exact proportions.
 //!
-//! Smooth weighted round robin: each pick credits every service with its weight and
-//! takes the one with the most credit, so that any run of picks follows the weights.
+//! Uses smooth weighted round robin: each pick credits every service with its weight and takes the
+//! one with the most credit, so that every run of picks follows the weights.
 
 use crate::config::Backend;
 use brasswinch_types::Service;
 
-/// The state of one route's division on one box.
+/// The state of one route's split on one box.
 #[derive(Clone, Debug)]
 pub struct WeightedSplit {
     backends: Vec<Backend>,
@@ -14,8 +14,8 @@
 }
 
 impl WeightedSplit {
-    /// Begins at a random point (`start` from 0 to 1), so that boxes don't all begin
-    /// with the same service.
+    /// Starts at a random point (`start` from 0 to 1), so that boxes don't all begin with the same
+    /// service.
     pub fn new(backends: &[Backend], start: f64) -> Self {
         let credits = backends
             .iter()
@@ -27,12 +27,12 @@
         }
     }
 
-    /// Whether this state belongs to the division among `backends`.
+    /// Whether this state belongs to the split among `backends`.
     pub fn is_for(&self, backends: &[Backend]) -> bool {
         self.backends == backends
     }
 
-    /// The service of the next request.
+    /// Returns the service of the next request.
     pub fn pick(&mut self) -> Option<Service> {
         let total: f64 = self.backends.iter().map(|backend| backend.weight).sum();
         let mut best: Option<usize> = None;
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -4,44 +4,44 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// When an upstream's process began, in milliseconds since 1970 by its own clock. It tells one
-/// life of an upstream from the next, and nothing is reckoned with it.
+/// Start time of an upstream's process, in milliseconds since 1970 by its own clock. It only
+/// identifies the incarnation; it is never used for time arithmetic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct UpstreamStart(pub u64);
 
-/// What an upstream says of itself.
+/// State that an upstream announces.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamState {
-    /// Takes requests.
+    /// Accepts requests.
     Ready,
-    /// Is leaving and takes nothing new.
+    /// Leaves and accepts no new requests.
     Draining,
 }
 
-/// An upstream's own entry.
+/// The entry that an upstream writes for itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct UpstreamRecord {
     /// Its name.
     pub id: UpstreamId,
-    /// Which of its lives this is, if it says so: one that starts again may keep its name.
+    /// Start time of this incarnation, if announced: a restarted upstream may keep its name.
     pub started: Option<UpstreamStart>,
     /// The service it belongs to.
     pub service: Service,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// The zone that it runs in.
     pub zone: Zone,
-    /// Requests that it works on at once.
+    /// Requests that it can run at the same time.
     pub slots: u32,
-    /// What it is doing.
+    /// Its announced state.
     pub state: UpstreamState,
-    /// How much longer it stays cold, in seconds, when the entry was written.
+    /// Remaining cold period when the entry was written, in seconds.
     pub cold_remaining_s: f64,
 }
 
 impl UpstreamRecord {
-    /// The life of the upstream that wrote the entry.
+    /// Returns the incarnation that wrote the entry.
     pub fn life(&self) -> UpstreamLife {
         UpstreamLife {
             upstream: self.id.clone(),
@@ -50,13 +50,13 @@
     }
 }
 
-/// One life of an upstream: what is known of one says nothing of the next.
+/// One incarnation of an upstream. State of one incarnation doesn't apply to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct UpstreamLife {
     /// The upstream.
     #[serde(rename = "u")]
     pub upstream: UpstreamId,
-    /// Which of its lives.
+    /// Start time of the incarnation.
     #[serde(rename = "b", default)]
     pub started: Option<UpstreamStart>,
 }
--- a/crates/routing/src/upstream_load.rs
+++ b/crates/routing/src/upstream_load.rs
@@ -1,32 +1,32 @@
-//! What a box knows of one upstream's load and health.
+//! Load and health of one upstream, as one box sees them.
 //!
-//! Load is the own requests in flight plus what the upstream last reported of others',
-//! which counts for less as it ages. Health is passive: failures eject an upstream for a
-//! time that doubles, after which one request at a time tries it.
+//! Load is the box's own requests in flight plus the requests of others from the upstream's last
+//! report, whose weight decays with age. Health checks are passive: failures eject an upstream for
+//! a time that doubles, after which it is probed with one request at a time.
 
 use brasswinch_types::Millis;
 use serde::{Deserialize, Serialize};
 
-/// A report of others' requests loses half of its weight in this time.
+/// Time in which a report of others' requests loses half of its weight.
 const REPORT_HALF_LIFE_MS: f64 = 1_000.0;
 
-/// First time that a failing upstream is left out.
+/// Duration of the first ejection of a failing upstream.
 const FIRST_EJECTION_MS: Millis = 500;
 
-/// Longest time that a failing upstream is left out.
+/// Longest ejection of a failing upstream.
 const LONGEST_EJECTION_MS: Millis = 4_000;
 
-/// Unanswered requests in a row that eject an upstream.
+/// Consecutive unanswered requests that eject an upstream.
 const FAILURES_TO_EJECT: u32 = 2;
 
-/// What an upstream says of its load in an answer.
+/// Load report in an upstream's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Requests that it works on.
+    /// Requests that it is running.
     pub running: u32,
     /// Requests that wait for a slot.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Requests that it can run at the same time.
     pub slots: u32,
 }
 
@@ -43,17 +43,17 @@
 }
 
 impl UpstreamLoad {
-    /// A request is about to be sent.
+    /// Records that a request is about to be sent.
     pub fn started(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A request ended, whatever its outcome.
+    /// Records the end of a request, regardless of its outcome.
     pub fn ended(&mut self) {
         self.in_flight = self.in_flight.saturating_sub(1);
     }
 
-    /// The upstream answered, whether it ran the request or not: it is alive.
+    /// Records an answer, whether or not the upstream ran the request: it is alive.
     pub fn answered(&mut self) {
         self.is_unreachable = false;
         self.failures = 0;
@@ -61,8 +61,8 @@
         self.ejected_until = 0;
     }
 
-    /// The upstream reported its load in an answer to a request that still counts as in
-    /// flight here, although the report no longer holds it.
+    /// Records a load report. The request whose answer carried it still counts as in flight here
+    /// but is no longer included in the report.
     pub fn reported(&mut self, report: LoadReport, now: Millis) {
         let total = f64::from(report.running) + f64::from(report.waiting);
         let mine = f64::from(self.in_flight.saturating_sub(1));
@@ -70,13 +70,13 @@
         self.reported_at = now;
     }
 
-    /// No connection could be made.
+    /// Records a failed connection attempt.
     pub fn unreachable(&mut self, now: Millis) {
         self.is_unreachable = true;
         self.eject(now);
     }
 
-    /// A request that was sent got no answer.
+    /// Records a request that was sent and got no answer.
     pub fn unanswered(&mut self, now: Millis) {
         self.failures += 1;
         if self.failures >= FAILURES_TO_EJECT {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Whether it may get a request now.
+    /// Whether the upstream may get a request now.
     pub fn is_usable(&self, now: Millis) -> bool {
         if self.ejections == 0 {
             return true;
@@ -92,22 +92,22 @@
         now >= self.ejected_until && self.is_idle()
     }
 
-    /// Whether no request of this box is at the upstream.
+    /// Whether this box has no request at the upstream.
     pub fn is_idle(&self) -> bool {
         self.in_flight == 0
     }
 
-    /// Whether the last try to connect failed.
+    /// Whether the last connection attempt failed.
     pub fn is_unreachable(&self) -> bool {
         self.is_unreachable
     }
 
-    /// Age of the upstream's last report; `None` if there was none.
+    /// Returns the age of the upstream's last report, in milliseconds; `None` without a report.
     pub fn report_age_ms(&self, now: Millis) -> Option<Millis> {
         (self.reported_at > 0).then(|| now.saturating_sub(self.reported_at))
     }
 
-    /// Requests at the upstream, as far as known: running and waiting.
+    /// Returns the estimated number of requests at the upstream, running and waiting.
     pub fn estimate(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.reported_at) as f64;
         let kept = 0.5_f64.powf(age / REPORT_HALF_LIFE_MS);
