--- a/crates/routing/src/cold_pacing.rs
+++ b/crates/routing/src/cold_pacing.rs
@@ -7,15 +7,15 @@
 use brasswinch_types::Millis;
 
 /// Most boxes that warm one upstream at the same time.
-const MOST_WARMERS: usize = 4;
+const MAX_WARMERS: usize = 4;
 
 /// Fraction of the tolerable rate that is used. It keeps two groups that are cut off from each
 /// other below the limit together.
-const RATE_PART: f64 = 0.7;
+const RATE_FRACTION: f64 = 0.7;
 
 /// Fraction of the fleet from which on a group sends at the full rate: there are at most two such
 /// groups, which the limit tolerates.
-const WHOLE_FROM: f64 = 0.5;
+const FULL_RATE_MIN_FRACTION: f64 = 0.5;
 
 /// The pacing of one cold upstream on one box.
 #[derive(Clone, Copy, Debug, Default)]
@@ -26,14 +26,14 @@
 impl ColdPacing {
     /// Returns the number of boxes that warm an upstream in a fleet of `boxes`.
     pub fn warmers(boxes: usize) -> usize {
-        boxes.clamp(1, MOST_WARMERS)
+        boxes.clamp(1, MAX_WARMERS)
     }
 
-    /// Returns the fraction of the rate for a group of `heard` boxes that reach each other, in a
+    /// Returns the fraction of the rate for a group of `reachable` boxes that reach each other, in a
     /// fleet of `boxes`. Over all groups the fractions add up to at most 2.
-    pub fn group_part(heard: usize, boxes: usize) -> f64 {
-        let part = heard as f64 / boxes.max(1) as f64;
-        if part >= WHOLE_FROM { 1.0 } else { part }
+    pub fn group_part(reachable: usize, boxes: usize) -> f64 {
+        let fraction = reachable as f64 / boxes.max(1) as f64;
+        if fraction >= FULL_RATE_MIN_FRACTION { 1.0 } else { fraction }
     }
 
     /// Whether a request may go to the cold upstream now; counts it if so. The first request waits
@@ -43,12 +43,12 @@
         if cold_per_s <= 0.0 {
             return false;
         }
-        let gap = 1_000.0 * Self::warmers(boxes) as f64 / (cold_per_s * RATE_PART);
-        let next = *self.next_at.get_or_insert(now + (random * gap) as Millis);
+        let interval_ms = 1_000.0 * Self::warmers(boxes) as f64 / (cold_per_s * RATE_FRACTION);
+        let next = *self.next_at.get_or_insert(now + (random * interval_ms) as Millis);
         if now < next {
             return false;
         }
-        self.next_at = Some(now + gap.ceil() as Millis);
+        self.next_at = Some(now + interval_ms.ceil() as Millis);
         true
     }
 
--- a/crates/routing/src/demand.rs
+++ b/crates/routing/src/demand.rs
@@ -10,17 +10,17 @@
 /// Averaging time of demand for region plans. Each object that moves costs a first run, and
 /// another when the wave has passed; compared with an average over seconds, this raised the total
 /// answer value by 0.006 ± 0.002 and 0.004 ± 0.002 (two loads).
-const AVERAGED_MS: f64 = 120_000.0;
+const AVERAGING_TIME_MS: f64 = 120_000.0;
 
 /// Largest ratio between current and averaged demand; beyond it the plan follows at once, to
 /// within this factor, so that a region with a sharp rise doesn't wait for the average. It is
 /// above the demand waves seen, of up to 1.55 times the mean.
-const MOST_DEPARTURE: f64 = 1.8;
+const MAX_DEVIATION_RATIO: f64 = 1.8;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
     boxes: f64,
-    heard: f64,
+    reported: f64,
     sum: f64,
 }
 
@@ -36,9 +36,9 @@
         let sample = self.regions.entry(region.clone()).or_default();
         sample.boxes += 1.0;
         // The rate comes from other boxes; an invalid one counts as missing.
-        let heard = requests_per_s.filter(|rate| rate.is_finite() && *rate >= 0.0);
-        if let Some(requests_per_s) = heard {
-            sample.heard += 1.0;
+        let reported = requests_per_s.filter(|rate| rate.is_finite() && *rate >= 0.0);
+        if let Some(requests_per_s) = reported {
+            sample.reported += 1.0;
             sample.sum += f64::from(requests_per_s);
         }
     }
@@ -47,7 +47,7 @@
     /// demand of the others.
     pub fn by_region(&self) -> BTreeMap<Region, f64> {
         let estimate = |sample: &Sample| {
-            (sample.heard > 0.0).then(|| sample.sum / sample.heard * sample.boxes)
+            (sample.reported > 0.0).then(|| sample.sum / sample.reported * sample.boxes)
         };
         let known: Vec<f64> = self.regions.values().filter_map(estimate).collect();
         let average = known.iter().sum::<f64>() / known.len().max(1) as f64;
@@ -62,7 +62,7 @@
 /// first.
 #[derive(Clone, Debug, Default)]
 pub struct AveragedDemand {
-    parts: BTreeMap<Region, f64>,
+    shares: BTreeMap<Region, f64>,
     averaged_at: Option<Millis>,
 }
 
@@ -75,12 +75,12 @@
         }
         let last = self.averaged_at.replace(now).unwrap_or(now);
         let elapsed = now.saturating_sub(last) as f64;
-        let weight = 1.0 - (-elapsed / AVERAGED_MS).exp();
-        let alike = 1.0 / newest.len() as f64;
-        self.parts.retain(|region, _| newest.contains_key(region));
+        let weight = 1.0 - (-elapsed / AVERAGING_TIME_MS).exp();
+        let equal_share = 1.0 / newest.len() as f64;
+        self.shares.retain(|region, _| newest.contains_key(region));
         for (region, demand) in newest {
-            let part = self.parts.entry(region.clone()).or_insert(alike);
-            *part += weight * (demand / total - *part);
+            let share = self.shares.entry(region.clone()).or_insert(equal_share);
+            *share += weight * (demand / total - *share);
         }
     }
 
@@ -88,13 +88,13 @@
     pub fn planned(&self, newest: &BTreeMap<Region, f64>) -> BTreeMap<Region, f64> {
         let total: f64 = newest.values().sum();
         let planned = |(region, average): (&Region, &f64)| {
-            let part = newest.get(region).copied().unwrap_or(0.0) / total;
-            let bounded = average.clamp(part / MOST_DEPARTURE, part * MOST_DEPARTURE);
+            let share = newest.get(region).copied().unwrap_or(0.0) / total;
+            let bounded = average.clamp(share / MAX_DEVIATION_RATIO, share * MAX_DEVIATION_RATIO);
             (region.clone(), bounded)
         };
         if total <= 0.0 {
             return BTreeMap::new();
         }
-        self.parts.iter().map(planned).collect()
+        self.shares.iter().map(planned).collect()
     }
 }
--- a/crates/routing/src/health_askers.rs
+++ b/crates/routing/src/health_askers.rs
@@ -53,23 +53,23 @@
 
     /// Whether this box probes the upstream.
     pub fn asks(&self, upstream: &UpstreamRecord) -> bool {
-        let candidates = self.near(&upstream.zone);
+        let candidates = self.nearest(&upstream.zone);
         if !candidates.contains(&self.me) {
             return false;
         }
         let object = object_hash("upstream", upstream.id.as_str().as_bytes());
-        let mine = weighted_score(object, self.me, 1.0);
+        let own_score = weighted_score(object, self.me, 1.0);
         let score = |other: &u64| weighted_score(object, *other, 1.0);
-        candidates.iter().all(|other| score(other) <= mine)
+        candidates.iter().all(|other| score(other) <= own_score)
     }
 
     /// Returns the boxes nearest to a zone: its own, else its region's, else all.
-    fn near(&self, zone: &Zone) -> Vec<u64> {
+    fn nearest(&self, zone: &Zone) -> Vec<u64> {
         if let Some(boxes) = self.by_zone.get(zone) {
             return boxes.clone();
         }
         let region = self.zones.get(zone);
-        let is_in_region = |held: &&Zone| region.is_some() && self.zones.get(held) == region;
+        let is_in_region = |other: &&Zone| region.is_some() && self.zones.get(other) == region;
         let in_region = self.by_zone.keys().filter(is_in_region);
         let in_region: Vec<u64> = in_region
             .flat_map(|zone| &self.by_zone[zone])
--- a/crates/routing/src/look_up.rs
+++ b/crates/routing/src/look_up.rs
@@ -16,10 +16,10 @@
 
 /// Smallest number of boxes for which the caller's zone is listed alone: with fewer, the loss of
 /// one is noticeable and a caller that skips it has hardly any alternative.
-const LEAST_OF_ZONE: usize = 8;
+const MIN_ZONE_BOXES: usize = 8;
 
 /// Ratio of a zone's load to the average of its region's zones above which the zone is overloaded.
-const CROWDED: f64 = 2.0;
+const OVERLOAD_RATIO: f64 = 2.0;
 
 /// A serving box as a candidate for a look-up.
 #[derive(Clone, Debug, PartialEq)]
@@ -41,46 +41,46 @@
     }
 }
 
-/// Returns the boxes for a caller in `zone`; `near` are the boxes of its region.
-pub fn named(near: &[NamedBox], zone: &Zone, random: &mut impl Rng) -> Vec<SocketAddr> {
-    let own: Vec<&NamedBox> = near.iter().filter(|held| &held.zone == zone).collect();
-    let stays = own.len() >= LEAST_OF_ZONE && !is_crowded(near, zone);
-    let candidates = if stays { own } else { near.iter().collect() };
+/// Returns the boxes for a caller in `zone`; `region_boxes` are the boxes of its region.
+pub fn named(region_boxes: &[NamedBox], zone: &Zone, random: &mut impl Rng) -> Vec<SocketAddr> {
+    let own: Vec<&NamedBox> = region_boxes.iter().filter(|candidate| &candidate.zone == zone).collect();
+    let stays_in_zone = own.len() >= MIN_ZONE_BOXES && !is_overloaded(region_boxes, zone);
+    let candidates = if stays_in_zone { own } else { region_boxes.iter().collect() };
     draw(candidates, random)
 }
 
 /// Whether the zone's load per unit of size exceeds the region's average by the overload ratio.
-fn is_crowded(near: &[NamedBox], zone: &Zone) -> bool {
+fn is_overloaded(region_boxes: &[NamedBox], zone: &Zone) -> bool {
     let mut loads: BTreeMap<&Zone, (f64, f64)> = BTreeMap::new();
-    for held in near {
+    for candidate in region_boxes {
         // The rate comes from other boxes; an invalid one counts as missing.
-        let heard = held.requests_per_s;
-        let Some(rate) = heard.filter(|rate| rate.is_finite() && *rate >= 0.0) else {
+        let reported = candidate.requests_per_s;
+        let Some(rate) = reported.filter(|rate| rate.is_finite() && *rate >= 0.0) else {
             continue;
         };
-        let (rates, weights) = loads.entry(&held.zone).or_default();
+        let (rates, weights) = loads.entry(&candidate.zone).or_default();
         *rates += f64::from(rate);
-        *weights += held.weight();
+        *weights += candidate.weight();
     }
     let per_size = |(rates, weights): &(f64, f64)| rates / weights.max(1.0);
     let Some(own) = loads.get(zone).map(per_size) else {
         return false;
     };
     let all: f64 = loads.values().map(per_size).sum();
-    own > all / loads.len() as f64 * CROWDED
+    own > all / loads.len() as f64 * OVERLOAD_RATIO
 }
 
 /// Returns all candidates, or a weighted sample without replacement of as many as an answer holds
 /// (Efraimidis and Spirakis, 2006: the largest of `uniform^(1/weight)`).
 fn draw(candidates: Vec<&NamedBox>, random: &mut impl Rng) -> Vec<SocketAddr> {
     if candidates.len() <= MOST_NAMED {
-        return candidates.iter().map(|held| held.address).collect();
+        return candidates.iter().map(|candidate| candidate.address).collect();
     }
     let mut drawn: Vec<(f64, SocketAddr)> = candidates
         .iter()
-        .map(|held| {
+        .map(|candidate| {
             let uniform: f64 = random.random();
-            (uniform.powf(1.0 / held.weight()), held.address)
+            (uniform.powf(1.0 / candidate.weight()), candidate.address)
         })
         .collect();
     drawn.sort_by(|a, b| b.0.total_cmp(&a.0));
--- a/crates/routing/src/placement/basis.rs
+++ b/crates/routing/src/placement/basis.rs
@@ -26,7 +26,7 @@
     pub(super) fn of(entry: &Entry, is_usable: bool, now: Millis) -> Self {
         if entry.is_held_off(now) {
             Self::HeldOff
-        } else if entry.said.is_resting(now) {
+        } else if entry.signals.is_backing_off(now) {
             Self::Resting
         } else if !is_usable {
             Self::LeftOut
@@ -121,10 +121,10 @@
         }
         if let Some(advised) = &self.advised {
             let (upstream, fullness) = (&advised.upstream, advised.fullness);
-            let knows = advised.has_served;
+            let advised_served = advised.has_served;
             write!(
                 f,
-                " advised={upstream} advised_fullness={fullness:.2} advised_served={knows}"
+                " advised={upstream} advised_fullness={fullness:.2} advised_served={advised_served}"
             )?;
         }
         write!(f, " may_leave_region={}", self.may_leave_region)
--- a/crates/routing/src/placement/entry.rs
+++ b/crates/routing/src/placement/entry.rs
@@ -1,7 +1,7 @@
 //! State of one upstream in placement.
 
 use super::REVIEW_MS;
-use super::said::Said;
+use super::signals::Signals;
 use super::shared_load::SharedLoad;
 use crate::cold_pacing::ColdPacing;
 use crate::upstream::{UpstreamLife, UpstreamRecord, UpstreamState};
@@ -10,15 +10,15 @@
 use std::collections::VecDeque;
 
 /// Number of recently served objects remembered for each upstream.
-const MOST_SERVED: usize = 32;
+const MAX_SERVED_OBJECTS: usize = 32;
 
 /// The loss of an upstream's entry, by this box's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Lost {
     /// When this box learned of the loss.
-    pub(super) heard_at: Millis,
+    pub(super) detected_at: Millis,
     /// The upstream stays in use until then, unless its entry comes back.
-    pub(super) kept_until: Millis,
+    pub(super) retained_until: Millis,
 }
 
 /// An upstream and its state as known to this box.
@@ -41,7 +41,7 @@
     /// Whether another upstream answered at its address.
     pub(super) is_replaced: bool,
     /// Signals that it sent in answers.
-    pub(super) said: Said,
+    pub(super) signals: Signals,
     /// Estimated number of boxes that send to it as this one does; at least 1.
     pub(super) senders: f64,
     pub(super) load: UpstreamLoad,
@@ -49,7 +49,7 @@
     /// Objects that it recently served for this box, newest last.
     pub(super) served: VecDeque<u64>,
     /// Whether this box coordinates its load for all boxes of the region.
-    pub(super) is_kept: bool,
+    pub(super) is_coordinated_here: bool,
     /// The load counted for other boxes that sent queries.
     pub(super) shared: SharedLoad,
 }
@@ -59,37 +59,37 @@
         self.served.contains(&object)
     }
 
-    pub(super) fn note_served(&mut self, object: u64) {
+    pub(super) fn record_served(&mut self, object: u64) {
         self.served.retain(|served| *served != object);
         self.served.push_back(object);
-        if self.served.len() > MOST_SERVED {
+        if self.served.len() > MAX_SERVED_OBJECTS {
             self.served.pop_front();
         }
     }
 
     /// Whether `record` belongs to the same incarnation of the upstream.
-    pub(super) fn is_same_life(&self, record: &UpstreamRecord) -> bool {
+    pub(super) fn is_same_incarnation(&self, record: &UpstreamRecord) -> bool {
         self.record.started == record.started
     }
 
     /// Whether it announced that it is leaving, in its entry or in an answer.
     pub(super) fn is_leaving(&self) -> bool {
-        self.record.state == UpstreamState::Draining || self.said.is_leaving
+        self.record.state == UpstreamState::Draining || self.signals.is_leaving
     }
 
-    pub(super) fn takes_requests(&self, now: Millis) -> bool {
-        !self.is_leaving() && !self.is_evacuated && !self.is_replaced && self.is_held(now)
+    pub(super) fn accepts_requests(&self, now: Millis) -> bool {
+        !self.is_leaving() && !self.is_evacuated && !self.is_replaced && self.is_current(now)
     }
 
     /// Whether its entry exists, or is lost but still retained.
-    pub(super) fn is_held(&self, now: Millis) -> bool {
-        self.lost.is_none_or(|lost| now < lost.kept_until)
+    pub(super) fn is_current(&self, now: Millis) -> bool {
+        self.lost.is_none_or(|lost| now < lost.retained_until)
     }
 
     /// Returns how long ago this box learned that the entry was lost, in milliseconds.
     pub(super) fn lost_ms(&self, now: Millis) -> Option<Millis> {
         let lost = self.lost?;
-        Some(now.saturating_sub(lost.heard_at))
+        Some(now.saturating_sub(lost.detected_at))
     }
 
     /// Whether it is out of full service, so that other upstreams have to take over its load.
@@ -97,19 +97,19 @@
         self.is_evacuated
             || self.is_cold(now)
             || self.load.is_unreachable()
-            || self.free_at().is_some_and(|until| now < until + REVIEW_MS)
+            || self.available_at().is_some_and(|until| now < until + REVIEW_MS)
     }
 
     /// Returns when its limit and its backoff end, also if that is past; `None` if it never had
     /// either.
-    pub(super) fn free_at(&self) -> Option<Millis> {
-        self.held_off_until.max(self.said.rests_until)
+    pub(super) fn available_at(&self) -> Option<Millis> {
+        self.held_off_until.max(self.signals.backoff_until)
     }
 
     /// Whether its health and its requested backoff allow a request now.
     pub(super) fn is_usable(&self, now: Millis) -> bool {
-        let is_tried = self.said.is_on_trial(now) && !self.load.is_idle();
-        !self.said.is_resting(now) && !is_tried && self.load.is_usable(now)
+        let is_probe_in_flight = self.signals.is_probing(now) && !self.load.is_idle();
+        !self.signals.is_backing_off(now) && !is_probe_in_flight && self.load.is_usable(now)
     }
 
     /// Whether its limit leaves this box no capacity.
@@ -128,7 +128,7 @@
 
     /// Whether this box coordinates its load, or still counts requests from when it did.
     pub(super) fn is_counted(&self) -> bool {
-        self.is_kept || self.shared.is_counting()
+        self.is_coordinated_here || self.shared.is_counting()
     }
 
     /// Returns the requests there from all boxes of the region, as a multiple of its slots.
@@ -138,12 +138,12 @@
 
     /// Returns the requests there, running and waiting, as a multiple of its slots.
     pub(super) fn fullness(&self, now: Millis) -> f64 {
-        let known = self.load.estimate(now);
+        let estimate = self.load.estimate(now);
         // Before the first load report the requests of other boxes are unknown, and all boxes
         // would fill the upstream at once, so each is assumed to send as much as this one. Without
         // this, 0.0012 ± 0.0005 of all requests failed.
-        let is_unheard = self.load.report_age_ms(now).is_none();
-        let senders = if is_unheard { self.senders } else { 1.0 };
-        known * senders / f64::from(self.record.slots.max(1))
+        let is_unreported = self.load.report_age_ms(now).is_none();
+        let senders = if is_unreported { self.senders } else { 1.0 };
+        estimate * senders / f64::from(self.record.slots.max(1))
     }
 }
--- a/crates/routing/src/placement/homes.rs
+++ b/crates/routing/src/placement/homes.rs
@@ -8,7 +8,7 @@
 
 /// A home of an object, as seen when a request for the object arrived.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct SeenHome {
+pub(super) struct HomeSnapshot {
     /// Its index among the service's upstreams.
     pub(super) index: usize,
     /// Requests there, as a multiple of its slots.
@@ -31,29 +31,29 @@
 impl ServiceUpstreams {
     /// Returns the object's homes in the order of `regions`, one for each region with a usable
     /// warm upstream. In the first region the advised upstream replaces the home if it is usable.
-    pub(super) fn seen_homes(
+    pub(super) fn home_snapshots(
         &self,
         object: u64,
         regions: &[Region],
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         advice: Option<&Advice>,
         now: Millis,
-    ) -> Vec<SeenHome> {
-        let advised = advice.and_then(|advice| self.advised(advice, regions, wanted, now));
+    ) -> Vec<HomeSnapshot> {
+        let advised = advice.and_then(|advice| self.advised(advice, regions, request, now));
         let own = |region: &Region| {
-            let index = self.home_in(object, region, wanted, now)?;
+            let index = self.home_in(object, region, request, now)?;
             let entry = &self.entries[index];
-            Some(SeenHome {
+            Some(HomeSnapshot {
                 index,
                 fullness: entry.fullness(now),
                 has_served: entry.has_served(object),
             })
         };
-        let is_first = |place: usize| place == 0;
+        let is_first = |position: usize| position == 0;
         let homes = regions.iter().enumerate();
         homes
-            .filter_map(|(place, region)| {
-                advised.filter(|_| is_first(place)).or_else(|| own(region))
+            .filter_map(|(position, region)| {
+                advised.filter(|_| is_first(position)).or_else(|| own(region))
             })
             .collect()
     }
@@ -64,14 +64,14 @@
         &self,
         object: u64,
         region: &Region,
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         now: Millis,
     ) -> Option<usize> {
         let score = |index: &usize| rendezvous_score(object, &self.entries[*index]);
         (0..self.entries.len())
             .filter(|index| {
                 let entry = &self.entries[*index];
-                &entry.region == region && is_usable(entry, wanted, now) && !entry.is_cold(now)
+                &entry.region == region && is_usable(entry, request, now) && !entry.is_cold(now)
             })
             .max_by(|a, b| score(a).total_cmp(&score(b)))
     }
@@ -81,17 +81,17 @@
         &self,
         advice: &Advice,
         regions: &[Region],
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         now: Millis,
-    ) -> Option<SeenHome> {
+    ) -> Option<HomeSnapshot> {
         let mut entries = self.entries.iter();
         let index = entries.position(|entry| entry.record.id == advice.upstream)?;
         let entry = &self.entries[index];
         let is_allowed = entry.record.started == advice.started
             && regions.first() == Some(&entry.region)
-            && is_usable(entry, wanted, now)
+            && is_usable(entry, request, now)
             && !entry.is_cold(now);
-        is_allowed.then_some(SeenHome {
+        is_allowed.then_some(HomeSnapshot {
             index,
             fullness: f64::from(advice.fullness),
             has_served: advice.has_served,
--- a/crates/routing/src/placement/lost_entries.rs
+++ b/crates/routing/src/placement/lost_entries.rs
@@ -16,60 +16,60 @@
 
 /// If more than this fraction of a service's upstreams lose their entries at once, the store is
 /// assumed to have lost the entries, and not the service its upstreams.
-const SERVICE_LOSS_PART: f64 = 0.34;
+const SERVICE_LOSS_FRACTION: f64 = 0.34;
 
 /// If more than this fraction of all services' upstreams lose their entries at once, the store
 /// itself is assumed to have been down.
-const FLEET_LOSS_PART: f64 = 0.5;
+const FLEET_LOSS_FRACTION: f64 = 0.5;
 
 /// Time in which running upstreams write their entries again after a store outage.
-const BACK_AFTER_OUTAGE_MS: Millis = 2_000;
+const OUTAGE_RECOVERY_MS: Millis = 2_000;
 
 /// Entries that are missing from an update, and the number that remain.
-pub(super) struct Losses {
+pub(super) struct LostEntries {
     lost: Vec<Entry>,
-    left: HashMap<Service, usize>,
+    remaining: HashMap<Service, usize>,
 }
 
-impl Losses {
-    /// Creates the comparison; `left` is the number of remaining entries of each service.
-    pub(super) fn new(lost: Vec<Entry>, left: HashMap<Service, usize>) -> Self {
-        Self { lost, left }
+impl LostEntries {
+    /// Creates the comparison; `remaining` is the number of remaining entries of each service.
+    pub(super) fn new(lost: Vec<Entry>, remaining: HashMap<Service, usize>) -> Self {
+        Self { lost, remaining }
     }
 
-    /// Returns the entries that stay in use for now. `keep_ms` is the retention time after a loss
+    /// Returns the entries that stay in use for now. `retain_ms` is the retention time after a loss
     /// that affects one service.
-    pub(super) fn kept(self, keep_ms: Millis, fleet: &FleetState, now: Millis) -> Vec<Entry> {
+    pub(super) fn retained(self, retain_ms: Millis, fleet: &FleetState, now: Millis) -> Vec<Entry> {
         let after_outage_ms = if self.is_fleet_loss() {
-            keep_ms.max(BACK_AFTER_OUTAGE_MS)
+            retain_ms.max(OUTAGE_RECOVERY_MS)
         } else {
-            keep_ms
+            retain_ms
         };
-        let kept_until = |entry: &Entry| {
+        let retained_until = |entry: &Entry| {
             let lost = fleet.lost_entry(&entry.record.id)?;
             if lost.store_failed {
                 return Some(now + after_outage_ms);
             }
-            Some(lost.present_as_of? + keep_ms)
+            Some(lost.present_as_of? + retain_ms)
         };
         let mass_losses = self.mass_losses();
-        let mut kept = self.lost;
-        kept.retain_mut(|entry| {
+        let mut retained = self.lost;
+        retained.retain_mut(|entry| {
             if entry.lost.is_none() && mass_losses.contains(&entry.record.service) {
                 // An entry with an unknown time of last existence isn't retained.
                 entry.lost = Some(Lost {
-                    heard_at: now,
-                    kept_until: kept_until(entry).unwrap_or(now),
+                    detected_at: now,
+                    retained_until: retained_until(entry).unwrap_or(now),
                 });
             }
-            entry.lost.is_some_and(|lost| now < lost.kept_until)
+            entry.lost.is_some_and(|lost| now < lost.retained_until)
         });
-        kept
+        retained
     }
 
     fn is_fleet_loss(&self) -> bool {
-        let left: usize = self.left.values().sum();
-        is_more_than(FLEET_LOSS_PART, self.lost.len(), left)
+        let remaining: usize = self.remaining.values().sum();
+        exceeds_fraction(FLEET_LOSS_FRACTION, self.lost.len(), remaining)
     }
 
     /// Returns the services that lost more than one upstream and a large fraction of them.
@@ -80,14 +80,14 @@
         }
         lost.into_iter()
             .filter(|(service, lost)| {
-                let left = self.left.get(*service).copied().unwrap_or(0);
-                *lost > 1 && is_more_than(SERVICE_LOSS_PART, *lost, left)
+                let remaining = self.remaining.get(*service).copied().unwrap_or(0);
+                *lost > 1 && exceeds_fraction(SERVICE_LOSS_FRACTION, *lost, remaining)
             })
             .map(|(service, _)| service.clone())
             .collect()
     }
 }
 
-fn is_more_than(part: f64, lost: usize, left: usize) -> bool {
-    lost as f64 > (lost + left) as f64 * part
+fn exceeds_fraction(fraction: f64, lost: usize, remaining: usize) -> bool {
+    lost as f64 > (lost + remaining) as f64 * fraction
 }
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -16,9 +16,9 @@
 mod basis;
 mod entry;
 mod homes;
-mod keeping;
+mod coordinators;
 mod lost_entries;
-mod said;
+mod signals;
 mod service_upstreams;
 mod shared_load;
 mod spill;
@@ -36,9 +36,9 @@
 pub use basis::{AdvisedHome, Basis, Home, HomeState};
 use brasswinch_types::{BoxId, Millis, Region, Service, UpstreamId, Zone};
 use entry::Entry;
-use keeping::Keepers;
-use lost_entries::Losses;
-use said::SaidByUpstreams;
+use coordinators::Coordinators;
+use lost_entries::LostEntries;
+use signals::SignalStore;
 use serde::{Deserialize, Serialize};
 use service_upstreams::ServiceUpstreams;
 pub use status::{KeptUpstream, ServiceStatus};
@@ -164,13 +164,13 @@
 pub struct Placement {
     settings: PlacementSettings,
     services: HashMap<Service, ServiceUpstreams>,
-    said: SaidByUpstreams,
+    signals: SignalStore,
     /// Hashes of the serving boxes, including this one.
     boxes: Vec<u64>,
     /// Number of boxes in the whole fleet, reachable or not.
     fleet_size: usize,
     /// The boxes of the region, which coordinate the load of its upstreams.
-    keepers: Keepers,
+    coordinators: Coordinators,
     demand: BTreeMap<Region, f64>,
     averaged_demand: AveragedDemand,
     reviewed_at: Millis,
@@ -183,10 +183,10 @@
         Self {
             settings,
             services: HashMap::new(),
-            said: SaidByUpstreams::default(),
+            signals: SignalStore::default(),
             boxes: vec![me],
             fleet_size: 1,
-            keepers: Keepers::default(),
+            coordinators: Coordinators::default(),
             demand: BTreeMap::new(),
             averaged_demand: AveragedDemand::default(),
             reviewed_at: 0,
@@ -214,30 +214,30 @@
     /// Applies the known upstreams and the configuration, and returns the changes that operators
     /// and connections need to know.
     pub fn update(&mut self, fleet: &FleetState, config: &SteeringConfig, now: Millis) -> Updated {
-        let mut held: HashMap<UpstreamId, Entry> = HashMap::new();
+        let mut previous: HashMap<UpstreamId, Entry> = HashMap::new();
         for service in self.services.values_mut() {
             let entries = std::mem::take(&mut service.entries);
-            held.extend(entries.into_iter().map(|e| (e.record.id.clone(), e)));
+            previous.extend(entries.into_iter().map(|e| (e.record.id.clone(), e)));
         }
         let mut addresses = BTreeSet::new();
         let mut restarted = Vec::new();
         for (record, learned_at) in fleet.upstreams() {
             addresses.insert(record.address);
-            let mut same = held.remove(&record.id);
-            if same.as_ref().is_some_and(|held| !held.is_same_life(record)) {
+            let mut continued = previous.remove(&record.id);
+            if continued.as_ref().is_some_and(|previous| !previous.is_same_incarnation(record)) {
                 // A restarted process keeps no requests or objects of its previous incarnation.
                 restarted.push(record.id.clone());
-                same = None;
+                continued = None;
             }
-            let entry = self.entry(record, learned_at, same, fleet, now);
-            self.service(&record.service).entries.push(entry);
+            let entry = self.build_entry(record, learned_at, continued, fleet, now);
+            self.service_mut(&record.service).entries.push(entry);
         }
-        let vanished = held
+        let lost = previous
             .into_values()
             .filter(|entry| fleet.lost_entry(&entry.record.id).is_some())
-            .filter(|entry| entry.takes_requests(now) && !addresses.contains(&entry.record.address))
+            .filter(|entry| entry.accepts_requests(now) && !addresses.contains(&entry.record.address))
             .collect();
-        let kept = self.keep_lost_entries(vanished, fleet, now);
+        let kept = self.retain_lost_entries(lost, fleet, now);
         for (name, service) in &mut self.services {
             let configured = config.services.get(name);
             service.cold_per_s = configured.map_or(0.0, |service| service.cold_per_s);
@@ -253,25 +253,25 @@
 
     /// Retains upstreams whose entries were lost together for as long as it takes to write them
     /// again. Upstreams that vanish one at a time have left.
-    fn keep_lost_entries(
+    fn retain_lost_entries(
         &mut self,
         lost: Vec<Entry>,
         fleet: &FleetState,
         now: Millis,
     ) -> Vec<UpstreamId> {
-        let mut newly_kept = Vec::new();
-        let left = self.services.iter();
-        let left = left.map(|(name, service)| (name.clone(), service.entries.len()));
-        let losses = Losses::new(lost, left.collect());
-        for mut entry in losses.kept(self.settings.keep_vanished_ms, fleet, now) {
+        let mut newly_retained = Vec::new();
+        let remaining = self.services.iter();
+        let remaining = remaining.map(|(name, service)| (name.clone(), service.entries.len()));
+        let lost_entries = LostEntries::new(lost, remaining.collect());
+        for mut entry in lost_entries.retained(self.settings.keep_vanished_ms, fleet, now) {
             entry.is_evacuated = fleet.is_evacuated(&entry.record.zone);
             if entry.lost_ms(now) == Some(0) {
-                newly_kept.push(entry.record.id.clone());
+                newly_retained.push(entry.record.id.clone());
             }
             let service = entry.record.service.clone();
-            self.service(&service).entries.push(entry);
+            self.service_mut(&service).entries.push(entry);
         }
-        newly_kept
+        newly_retained
     }
 
     fn is_in_use(&self, name: &Service) -> bool {
@@ -279,15 +279,15 @@
         service.is_some_and(|service| service.is_in_use)
     }
 
-    fn service(&mut self, name: &Service) -> &mut ServiceUpstreams {
+    fn service_mut(&mut self, name: &Service) -> &mut ServiceUpstreams {
         self.services.entry(name.clone()).or_default()
     }
 
-    fn entry(
+    fn build_entry(
         &self,
         record: &UpstreamRecord,
         learned_at: Millis,
-        mut held: Option<Entry>,
+        mut previous: Option<Entry>,
         fleet: &FleetState,
         now: Millis,
     ) -> Entry {
@@ -298,41 +298,41 @@
         let after_evacuation = fleet
             .evacuation_ended_at(&record.zone)
             .map_or(0, |ended_at| ended_at + self.settings.after_evacuation_ms);
-        let said = match &held {
-            Some(held) => held.said,
-            None => self.said.of(&record.life()),
+        let signals = match &previous {
+            Some(previous) => previous.signals,
+            None => self.signals.of(&record.life()),
         };
         let cold_until = (learned_at + cold_ms + margin)
             .max(after_evacuation)
-            .max(said.cold_until(learned_at).unwrap_or(0));
+            .max(signals.cold_until(learned_at).unwrap_or(0));
         Entry {
             region: region.cloned().unwrap_or_else(|| Region::new("")),
             hash,
             cold_until,
             lost: None,
-            joined_at: held.as_ref().map_or(now, |held| held.joined_at),
-            is_used: match &held {
-                Some(held) => held.is_used,
+            joined_at: previous.as_ref().map_or(now, |previous| previous.joined_at),
+            is_used: match &previous {
+                Some(previous) => previous.is_used,
                 // An upstream that exists before the service's first request gets its share
                 // anyway.
                 None => !self.is_in_use(&record.service),
             },
             is_evacuated: fleet.is_evacuated(&record.zone),
-            held_off_until: held.as_ref().and_then(|held| held.held_off_until),
-            is_replaced: held.as_ref().is_some_and(|held| held.is_replaced),
-            said,
-            senders: held.as_ref().map_or(1.0, |held| held.senders),
-            load: held.as_ref().map(|held| held.load).unwrap_or_default(),
-            pacing: held.as_ref().map(|held| held.pacing).unwrap_or_default(),
-            is_kept: match &held {
-                Some(held) => held.is_kept,
-                None => self.keepers.is_mine(hash),
+            held_off_until: previous.as_ref().and_then(|previous| previous.held_off_until),
+            is_replaced: previous.as_ref().is_some_and(|previous| previous.is_replaced),
+            signals,
+            senders: previous.as_ref().map_or(1.0, |previous| previous.senders),
+            load: previous.as_ref().map(|previous| previous.load).unwrap_or_default(),
+            pacing: previous.as_ref().map(|previous| previous.pacing).unwrap_or_default(),
+            is_coordinated_here: match &previous {
+                Some(previous) => previous.is_coordinated_here,
+                None => self.coordinators.is_coordinator(hash),
             },
-            served: held
+            served: previous
                 .as_mut()
-                .map(|held| std::mem::take(&mut held.served))
+                .map(|previous| std::mem::take(&mut previous.served))
                 .unwrap_or_default(),
-            shared: held.map(|held| held.shared).unwrap_or_default(),
+            shared: previous.map(|previous| previous.shared).unwrap_or_default(),
             record: record.clone(),
         }
     }
@@ -352,12 +352,12 @@
         // An object's requests come from one region, so the boxes of that region share its home.
         let senders = (self.boxes.len() as f64 / regions.len().max(1) as f64).max(1.0);
         for service in self.services.values_mut() {
-            service.entries.retain(|entry| entry.is_held(now));
+            service.entries.retain(|entry| entry.is_current(now));
             for entry in &mut service.entries {
                 entry.senders = senders;
             }
             service.review_disturbance(now);
-            let rooms: Vec<RegionRoom> = regions
+            let capacities: Vec<RegionRoom> = regions
                 .iter()
                 .map(|region| RegionRoom {
                     region: (*region).clone(),
@@ -365,26 +365,26 @@
                     demand: demand.get(region).copied().unwrap_or(0.0),
                 })
                 .collect();
-            let (origin, most) = (&self.settings.region, self.settings.most_shift);
-            service.plan.advance(origin, &rooms, most, now);
+            let (origin, limit) = (&self.settings.region, self.settings.most_shift);
+            service.plan.advance(origin, &capacities, limit, now);
         }
     }
 
     /// Chooses an upstream and counts the request there. `random` is drawn from 0 to 1.
     pub fn choose(
         &mut self,
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         random: f64,
         now: Millis,
     ) -> Result<Choice, Refusal> {
-        self.choose_advised(wanted, None, random, now)
+        self.choose_advised(request, None, random, now)
     }
 
     /// Chooses as [`Placement::choose`] does, with the advice of the coordinator of the object's
     /// home.
     pub fn choose_advised(
         &mut self,
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         advice: Option<&Advice>,
         random: f64,
         now: Millis,
@@ -397,8 +397,8 @@
             me: object_hash("box", self.settings.me.as_str().as_bytes()),
             random,
         };
-        let chosen = match self.services.get_mut(wanted.service) {
-            Some(service) => service.choose(wanted, advice, &warming, now),
+        let chosen = match self.services.get_mut(request.service) {
+            Some(service) => service.choose(request, advice, &warming, now),
             None => Err(Refusal::NoUpstream),
         };
         self.boxes = boxes;
@@ -407,16 +407,16 @@
 
     /// Records how a request that was sent to `choice` ended.
     pub fn ended(&mut self, choice: &Choice, outcome: UpstreamOutcome, now: Millis) {
-        let Some(entry) = self.held(choice) else {
+        let Some(entry) = self.entry_mut_for(choice) else {
             return;
         };
         let load = &mut entry.load;
-        let mut has_rested = false;
+        let mut ends_backoff = false;
         match outcome {
             UpstreamOutcome::Answered => {
                 load.answered();
-                entry.note_served(choice.basis.object);
-                has_rested = entry.said.is_on_trial(now);
+                entry.record_served(choice.basis.object);
+                ends_backoff = entry.signals.is_probing(now);
             }
             UpstreamOutcome::Shed => load.answered(),
             UpstreamOutcome::Replaced => entry.is_replaced = true,
@@ -425,14 +425,14 @@
             UpstreamOutcome::Abandoned => {}
         }
         entry.load.ended();
-        if has_rested {
-            self.serves_again(choice);
+        if ends_backoff {
+            self.end_backoff(choice);
         }
     }
 
     /// Records a load report of an upstream.
     pub fn reported(&mut self, choice: &Choice, report: LoadReport, now: Millis) {
-        if let Some(entry) = self.held(choice) {
+        if let Some(entry) = self.entry_mut_for(choice) {
             entry.load.reported(report, now);
         }
     }
@@ -441,15 +441,15 @@
     /// until `until`.
     pub fn hold_off(&mut self, choice: &Choice, until: Millis, now: Millis) {
         self.ended(choice, UpstreamOutcome::Abandoned, now);
-        if let Some(entry) = self.held(choice) {
+        if let Some(entry) = self.entry_mut_for(choice) {
             entry.held_off_until = Some(until);
         }
     }
 
     /// Whether a request may still be sent to the upstream chosen for it.
     pub fn may_send(&mut self, choice: &Choice, now: Millis) -> bool {
-        let held = self.held(choice);
-        held.is_some_and(|entry| entry.takes_requests(now) && !entry.said.is_resting(now))
+        let entry = self.entry_mut_for(choice);
+        entry.is_some_and(|entry| entry.accepts_requests(now) && !entry.signals.is_backing_off(now))
     }
 
     /// Whether this incarnation of the upstream is known.
@@ -458,17 +458,17 @@
     }
 
     fn entry_of(&self, life: &UpstreamLife) -> Option<&Entry> {
-        let mut entries = self.services.values().flat_map(|held| &held.entries);
+        let mut entries = self.services.values().flat_map(|service| &service.entries);
         entries.find(|entry| entry.is_of(life))
     }
 
-    fn held_by(&mut self, life: &UpstreamLife) -> Option<&mut Entry> {
+    fn entry_mut_of(&mut self, life: &UpstreamLife) -> Option<&mut Entry> {
         let services = self.services.values_mut();
-        let mut entries = services.flat_map(|held| &mut held.entries);
+        let mut entries = services.flat_map(|service| &mut service.entries);
         entries.find(|entry| entry.is_of(life))
     }
 
-    fn held(&mut self, choice: &Choice) -> Option<&mut Entry> {
+    fn entry_mut_for(&mut self, choice: &Choice) -> Option<&mut Entry> {
         let service = self.services.get_mut(&choice.service)?;
         let mut entries = service.entries.iter_mut();
         entries.find(|entry| {
--- a/crates/routing/src/placement/service_upstreams.rs
+++ b/crates/routing/src/placement/service_upstreams.rs
@@ -3,11 +3,11 @@
 use super::advice::Advice;
 use super::basis::{AdvisedHome, Basis, Home, HomeState};
 use super::entry::Entry;
-use super::homes::SeenHome;
+use super::homes::HomeSnapshot;
 use super::spill::SpillWindow;
 use super::warming::Warming;
 use super::{Choice, Refusal, Wanted};
-use crate::refusals::spread_later;
+use crate::refusals::with_added_jitter;
 use crate::region_plan::RegionPlan;
 use crate::rendezvous::{object_hash, weighted_score};
 use crate::workspace::Rank;
@@ -16,36 +16,36 @@
 /// Queue limit: requests at an upstream, as a multiple of its slots, from which on it gets no
 /// more. Compared with 1.7, 1.9 and 1.6 for this limit and the next two, the total answer value
 /// changed by 0.014 ± 0.014 with three slots per upstream.
-const MOST_QUEUE: f64 = 2.4;
+const MAX_QUEUE: f64 = 2.4;
 
 /// Queue limit for a request for an object that the upstream has not served for this box: such a
 /// request takes longer, and a queue of them leaves the upstream no time to serve known objects
 /// faster. It raises the total answer value by 0.005 ± 0.004.
-const MOST_QUEUE_UNSERVED: f64 = 1.35;
+const MAX_QUEUE_UNSERVED: f64 = 1.35;
 
 /// Queue limit if no other region may take the request: it waits instead of being refused, as long
 /// as it can still be served.
-const LONGEST_QUEUE: f64 = 2.6;
+const MAX_QUEUE_LAST_RESORT: f64 = 2.6;
 
 /// Requests at a home that has served the object, as a multiple of its slots, below which a
 /// request waits there and doesn't take a free slot elsewhere: a first run takes about three times
 /// as long and leaves a copy that is seldom requested again. Compared with not waiting, 1.6 raised
 /// the total answer value by 0.010 ± 0.002 and 0.006 ± 0.002 (two loads).
-const QUEUE_BEFORE_LEAVING: f64 = 2.2;
+const MAX_QUEUE_BEFORE_LEAVING: f64 = 2.2;
 
 /// Fraction of each queue limit that less urgent requests may use while urgent requests of the
 /// service are refused; the rest is reserved for urgent ones. It raises the total answer value by
 /// 0.0013 ± 0.0013 where services share routes of two ranks, with no effect shown elsewhere.
-const LESS_URGENT_PART: f64 = 0.8;
+const LESS_URGENT_QUEUE_FRACTION: f64 = 0.8;
 
 /// How long the reservation lasts after an urgent request was refused.
-const URGENT_FIRST_MS: Millis = 2_000;
+const URGENT_RESERVATION_MS: Millis = 2_000;
 
 /// How long a service counts as disturbed after all of its upstreams are back.
 const DISTURBED_MS: Millis = 3_000;
 
 /// Shortest retry time sent to refused callers.
-const REFUSED_RETRY_MS: Millis = 150;
+const MIN_RETRY_MS: Millis = 150;
 
 /// The upstreams of one service.
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
     pub(super) most_urgent: Rank,
     /// Whether this box has received a request for the service.
     pub(super) is_in_use: bool,
-    urgent_first_until: Millis,
+    urgent_reserved_until: Millis,
     spills: SpillWindow,
     disturbed_until: Millis,
 }
@@ -67,7 +67,7 @@
 impl ServiceUpstreams {
     pub(super) fn choose(
         &mut self,
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         advice: Option<&Advice>,
         warming: &Warming<'_>,
         now: Millis,
@@ -75,25 +75,25 @@
         self.is_in_use = true;
         self.spills.roll(now);
         self.spills.count_request();
-        let object = wanted.object_hash(warming.random);
-        let regions = self.ranked_regions(object, wanted, now);
-        let homes = self.seen_homes(object, &regions, wanted, advice, now);
-        let mut basis = self.basis(object, &regions, wanted, now);
+        let object = request.object_hash(warming.random);
+        let regions = self.ranked_regions(object, request, now);
+        let homes = self.home_snapshots(object, &regions, request, advice, now);
+        let mut basis = self.basis(object, &regions, request, now);
         basis.advised = advice.map(AdvisedHome::from);
         let chosen = self
-            .never_used(wanted, warming, now)
-            .or_else(|| self.at_home(&homes, wanted, now))
+            .never_used(request, warming, now)
+            .or_else(|| self.at_home(&homes, request, now))
             .or_else(|| self.free_elsewhere(&homes))
-            .or_else(|| self.in_queue(&homes, wanted, now))
-            .or_else(|| self.cold(wanted, warming, now));
-        if chosen.is_none() && wanted.rank <= self.most_urgent {
-            self.urgent_first_until = now + URGENT_FIRST_MS;
+            .or_else(|| self.in_queue(&homes, request, now))
+            .or_else(|| self.cold(request, warming, now));
+        if chosen.is_none() && request.rank <= self.most_urgent {
+            self.urgent_reserved_until = now + URGENT_RESERVATION_MS;
         }
         match chosen {
             Some(index) => Ok(self.start(index, basis, now)),
-            None if regions.is_empty() && !self.has_any(wanted, now) => Err(Refusal::NoUpstream),
+            None if regions.is_empty() && !self.has_candidates(request, now) => Err(Refusal::NoUpstream),
             None => Err(Refusal::Busy {
-                retry_after_ms: spread_later(self.room_in_ms(wanted, now), warming.random),
+                retry_after_ms: with_added_jitter(self.available_in_ms(request, now), warming.random),
                 basis,
             }),
         }
@@ -101,12 +101,12 @@
 
     /// Returns the time until a retry is useful, in milliseconds: the minimum if only queues are
     /// full; if limits and backoffs block all upstreams, no earlier than the first of them ends.
-    fn room_in_ms(&self, wanted: &Wanted<'_>, now: Millis) -> Millis {
+    fn available_in_ms(&self, request: &Wanted<'_>, now: Millis) -> Millis {
         let entries = self.entries.iter();
-        let taking = entries.filter(|entry| entry.takes_requests(now) && is_allowed(entry, wanted));
-        let first_free = taking.map(|entry| entry.free_at().unwrap_or(0)).min();
-        let free_in_ms = first_free.map_or(0, |at| at.saturating_sub(now));
-        free_in_ms.max(REFUSED_RETRY_MS)
+        let accepting = entries.filter(|entry| entry.accepts_requests(now) && is_allowed(entry, request));
+        let first_free = accepting.map(|entry| entry.available_at().unwrap_or(0)).min();
+        let wait_ms = first_free.map_or(0, |at| at.saturating_sub(now));
+        wait_ms.max(MIN_RETRY_MS)
     }
 
     fn start(&mut self, index: usize, basis: Basis, now: Millis) -> Choice {
@@ -125,19 +125,19 @@
     }
 
     /// Returns the state of the object's home in the first region, whether or not it is usable.
-    fn basis(&self, object: u64, regions: &[Region], wanted: &Wanted<'_>, now: Millis) -> Basis {
+    fn basis(&self, object: u64, regions: &[Region], request: &Wanted<'_>, now: Millis) -> Basis {
         let region = regions.first();
         let score = |entry: &&Entry| rendezvous_score(object, entry);
         let home = self
             .entries
             .iter()
-            .filter(|entry| Some(&entry.region) == region && entry.takes_requests(now))
+            .filter(|entry| Some(&entry.region) == region && entry.accepts_requests(now))
             .max_by(|a, b| score(a).total_cmp(&score(b)));
         Basis {
             object,
             home: home.map(|entry| Home {
                 upstream: entry.record.id.clone(),
-                state: HomeState::of(entry, is_usable(entry, wanted, now), now),
+                state: HomeState::of(entry, is_usable(entry, request, now), now),
                 fullness: entry.fullness(now),
                 report_age_ms: entry.load.report_age_ms(now),
                 has_served: entry.has_served(object),
@@ -147,10 +147,10 @@
         }
     }
 
-    fn has_any(&self, wanted: &Wanted<'_>, now: Millis) -> bool {
+    fn has_candidates(&self, request: &Wanted<'_>, now: Millis) -> bool {
         self.entries
             .iter()
-            .any(|entry| entry.takes_requests(now) && is_allowed(entry, wanted))
+            .any(|entry| entry.accepts_requests(now) && is_allowed(entry, request))
     }
 
     /// Returns the regions with upstreams that accept requests, the one of the object's home
@@ -158,19 +158,19 @@
     pub(super) fn ranked_regions(
         &self,
         object: u64,
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         now: Millis,
     ) -> Vec<Region> {
         let mut ranked: Vec<(f64, f64, &Region)> = Vec::new();
         for entry in &self.entries {
             let is_known = ranked.iter().any(|(_, _, region)| *region == &entry.region);
-            if is_known || !entry.takes_requests(now) || !is_allowed(entry, wanted) {
+            if is_known || !entry.accepts_requests(now) || !is_allowed(entry, request) {
                 continue;
             }
-            let place = object_hash("region", entry.region.as_str().as_bytes());
-            let part = self.plan.part(&entry.region);
-            let tie = weighted_score(object, place, 1.0);
-            ranked.push((weighted_score(object, place, part), tie, &entry.region));
+            let region_hash = object_hash("region", entry.region.as_str().as_bytes());
+            let share = self.plan.part(&entry.region);
+            let tie = weighted_score(object, region_hash, 1.0);
+            ranked.push((weighted_score(object, region_hash, share), tie, &entry.region));
         }
         ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.total_cmp(&a.1)));
         ranked
@@ -180,18 +180,18 @@
     }
 
     /// Returns the first home if a slot is free or the wait is short.
-    fn at_home(&self, homes: &[SeenHome], wanted: &Wanted<'_>, now: Millis) -> Option<usize> {
+    fn at_home(&self, homes: &[HomeSnapshot], request: &Wanted<'_>, now: Millis) -> Option<usize> {
         let home = homes.first()?;
-        let most = if home.has_served {
-            (QUEUE_BEFORE_LEAVING * self.queue_part(wanted, now)).max(1.0)
+        let limit = if home.has_served {
+            (MAX_QUEUE_BEFORE_LEAVING * self.queue_fraction(request, now)).max(1.0)
         } else {
             1.0
         };
-        (home.fullness < most).then_some(home.index)
+        (home.fullness < limit).then_some(home.index)
     }
 
     /// Returns a home in another region with a free slot, within the spill window.
-    fn free_elsewhere(&mut self, homes: &[SeenHome]) -> Option<usize> {
+    fn free_elsewhere(&mut self, homes: &[HomeSnapshot]) -> Option<usize> {
         if !self.spills.may_spill() {
             return None;
         }
@@ -203,33 +203,33 @@
 
     /// Returns the first home whose queue is short enough, within the spill window; otherwise the
     /// first of all, up to a higher queue limit.
-    fn in_queue(&mut self, homes: &[SeenHome], wanted: &Wanted<'_>, now: Millis) -> Option<usize> {
-        let part = self.queue_part(wanted, now);
+    fn in_queue(&mut self, homes: &[HomeSnapshot], request: &Wanted<'_>, now: Millis) -> Option<usize> {
+        let fraction = self.queue_fraction(request, now);
         let may_leave = self.is_disturbed(now) || self.spills.may_queue_elsewhere();
         let first = homes.first()?;
-        let has_room = |home: &&SeenHome| {
+        let has_queue_space = |home: &&HomeSnapshot| {
             let queue = if home.has_served {
-                MOST_QUEUE
+                MAX_QUEUE
             } else {
-                MOST_QUEUE_UNSERVED
+                MAX_QUEUE_UNSERVED
             };
-            home.fullness < queue * part
+            home.fullness < queue * fraction
         };
         let reachable = if may_leave { homes.len() } else { 1 };
-        let found = homes[..reachable].iter().find(has_room);
+        let found = homes[..reachable].iter().find(has_queue_space);
         if found.is_some_and(|home| home.index != first.index) {
             self.spills.count_spill();
         }
         found
-            .or_else(|| (first.fullness < LONGEST_QUEUE * part).then_some(first))
+            .or_else(|| (first.fullness < MAX_QUEUE_LAST_RESORT * fraction).then_some(first))
             .map(|home| home.index)
     }
 
     /// Returns the fraction of each queue limit that the request may use. Free slots are open to
     /// all.
-    fn queue_part(&self, wanted: &Wanted<'_>, now: Millis) -> f64 {
-        if wanted.rank > self.most_urgent && now < self.urgent_first_until {
-            LESS_URGENT_PART
+    fn queue_fraction(&self, request: &Wanted<'_>, now: Millis) -> f64 {
+        if request.rank > self.most_urgent && now < self.urgent_reserved_until {
+            LESS_URGENT_QUEUE_FRACTION
         } else {
             1.0
         }
@@ -238,7 +238,7 @@
     pub(super) fn slots_in(&self, region: &Region, now: Millis) -> f64 {
         self.entries
             .iter()
-            .filter(|entry| &entry.region == region && entry.takes_requests(now))
+            .filter(|entry| &entry.region == region && entry.accepts_requests(now))
             .filter(|entry| !entry.is_cold(now))
             .map(|entry| f64::from(entry.record.slots))
             .sum()
@@ -262,14 +262,14 @@
     weighted_score(object, entry.hash, f64::from(entry.record.slots.max(1)))
 }
 
-fn is_allowed(entry: &Entry, wanted: &Wanted<'_>) -> bool {
-    wanted.regions.allow(&entry.region)
+fn is_allowed(entry: &Entry, request: &Wanted<'_>) -> bool {
+    request.regions.allow(&entry.region)
 }
 
-pub(super) fn is_usable(entry: &Entry, wanted: &Wanted<'_>, now: Millis) -> bool {
-    entry.takes_requests(now)
-        && is_allowed(entry, wanted)
+pub(super) fn is_usable(entry: &Entry, request: &Wanted<'_>, now: Millis) -> bool {
+    entry.accepts_requests(now)
+        && is_allowed(entry, request)
         && entry.is_usable(now)
         && !entry.is_held_off(now)
-        && !wanted.tried.contains(&entry.record.id)
+        && !request.tried.contains(&entry.record.id)
 }
--- a/crates/routing/src/placement/shared_load.rs
+++ b/crates/routing/src/placement/shared_load.rs
@@ -5,11 +5,11 @@
 use std::collections::{HashMap, VecDeque};
 
 /// Number of objects remembered for each upstream.
-const MOST_OBJECTS: usize = 64;
+const MAX_OBJECTS: usize = 64;
 
 /// Longest time a request is counted if no completion report arrives, because its box died or the
 /// message was lost.
-const LONGEST_COUNT_MS: Millis = 10_000;
+const MAX_COUNT_MS: Millis = 10_000;
 
 /// Counts an upstream's requests and remembers the objects that it was chosen for.
 #[derive(Clone, Debug, Default)]
@@ -24,17 +24,17 @@
 
 impl SharedLoad {
     /// Counts a request about `object`, for at most `left_ms`.
-    pub(super) fn begin(&mut self, question: u64, object: u64, left_ms: Millis, now: Millis) {
-        let until = now + left_ms.min(LONGEST_COUNT_MS);
-        if self.counted.insert(question, until).is_none() {
+    pub(super) fn begin(&mut self, query: u64, object: u64, left_ms: Millis, now: Millis) {
+        let until = now + left_ms.min(MAX_COUNT_MS);
+        if self.counted.insert(query, until).is_none() {
             self.load.started();
         }
         self.remember(object, false);
     }
 
     /// Removes an ended request; returns whether it was counted.
-    pub(super) fn end(&mut self, question: u64) -> bool {
-        let was_counted = self.counted.remove(&question).is_some();
+    pub(super) fn end(&mut self, query: u64) -> bool {
+        let was_counted = self.counted.remove(&query).is_some();
         if was_counted {
             self.load.ended();
         }
@@ -47,9 +47,9 @@
     }
 
     /// Records that the request for `object` was not sent to the upstream chosen for it.
-    pub(super) fn not_used(&mut self, object: u64) {
+    pub(super) fn not_sent(&mut self, object: u64) {
         self.objects
-            .retain(|(held, has_served)| *held != object || *has_served);
+            .retain(|(stored, has_served)| *stored != object || *has_served);
     }
 
     /// Records a load report. The request whose answer carried it must still be counted.
@@ -58,7 +58,7 @@
     }
 
     /// Removes expired requests.
-    pub(super) fn forget_overdue(&mut self, now: Millis) {
+    pub(super) fn remove_expired(&mut self, now: Millis) {
         let before = self.counted.len();
         self.counted.retain(|_, until| now < *until);
         for _ in self.counted.len()..before {
@@ -73,7 +73,7 @@
 
     /// Whether the upstream was recently chosen for `object`.
     pub(super) fn is_chosen_for(&self, object: u64) -> bool {
-        self.objects.iter().any(|(held, _)| *held == object)
+        self.objects.iter().any(|(stored, _)| *stored == object)
     }
 
     /// Whether the upstream has recently served a request for `object`.
@@ -92,12 +92,12 @@
     }
 
     fn remember(&mut self, object: u64, has_served: bool) {
-        let held = self.objects.iter().position(|(held, _)| *held == object);
-        let had_served = held
-            .and_then(|place| self.objects.remove(place))
+        let stored = self.objects.iter().position(|(stored, _)| *stored == object);
+        let had_served = stored
+            .and_then(|index| self.objects.remove(index))
             .is_some_and(|(_, had_served)| had_served);
         self.objects.push_back((object, has_served || had_served));
-        if self.objects.len() > MOST_OBJECTS {
+        if self.objects.len() > MAX_OBJECTS {
             self.objects.pop_front();
         }
     }
--- a/crates/routing/src/placement/said.rs
+++ b/crates/routing/src/placement/signals.rs
@@ -8,71 +8,71 @@
 
 /// Upstreams whose signals are stored; the oldest are evicted first. At 100 bytes each they take
 /// 0.4 MB.
-const MOST_KEPT: usize = 4_096;
+const MAX_STORED: usize = 4_096;
 
 /// Signals of one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Said {
+pub(super) struct Signals {
     /// Whether it accepts no new requests.
     pub(super) is_leaving: bool,
     /// It asked this box to back off until then; `None` once it has answered a request since.
-    pub(super) rests_until: Option<Millis>,
+    pub(super) backoff_until: Option<Millis>,
     /// The cold period that it reported in a health answer.
-    pub(super) cold: Option<SaidCold>,
+    pub(super) cold: Option<ColdSignal>,
     /// Whether it has sent a signal that can't be parsed.
     pub(super) is_unreadable: bool,
 }
 
 /// A report of an upstream that it is cold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct SaidCold {
-    heard_at: Millis,
+pub(super) struct ColdSignal {
+    received_at: Millis,
     until: Millis,
 }
 
-impl Said {
+impl Signals {
     /// Returns the end of the reported cold period if the entry has not changed since
     /// `learned_at`; a later entry takes precedence.
     pub(super) fn cold_until(&self, learned_at: Millis) -> Option<Millis> {
-        let cold = self.cold.filter(|cold| cold.heard_at >= learned_at)?;
+        let cold = self.cold.filter(|cold| cold.received_at >= learned_at)?;
         Some(cold.until)
     }
 
     /// Whether it asked this box to back off now.
-    pub(super) fn is_resting(&self, now: Millis) -> bool {
-        self.rests_until.is_some_and(|until| now < until)
+    pub(super) fn is_backing_off(&self, now: Millis) -> bool {
+        self.backoff_until.is_some_and(|until| now < until)
     }
 
     /// Whether its backoff has ended and no request has succeeded since.
-    pub(super) fn is_on_trial(&self, now: Millis) -> bool {
-        self.rests_until.is_some_and(|until| now >= until)
+    pub(super) fn is_probing(&self, now: Millis) -> bool {
+        self.backoff_until.is_some_and(|until| now >= until)
     }
 }
 
 /// The signals of all upstreams that sent any.
 #[derive(Debug, Default)]
-pub(super) struct SaidByUpstreams {
-    kept: HashMap<UpstreamLife, Said>,
+pub(super) struct SignalStore {
+    stored: HashMap<UpstreamLife, Signals>,
     /// Stored incarnations, oldest first.
     order: VecDeque<UpstreamLife>,
 }
 
-impl SaidByUpstreams {
+impl SignalStore {
     /// Returns the signals of an incarnation of an upstream.
-    pub(super) fn of(&self, life: &UpstreamLife) -> Said {
-        self.kept.get(life).copied().unwrap_or_default()
+    pub(super) fn of(&self, life: &UpstreamLife) -> Signals {
+        self.stored.get(life).copied().unwrap_or_default()
     }
 
     /// Stores the signals of an incarnation.
-    pub(super) fn keep(&mut self, life: UpstreamLife, said: Said) {
-        if self.kept.insert(life.clone(), said).is_some() {
+    pub(super) fn store(&mut self, life: UpstreamLife, signals: Signals) {
+        if self.stored.insert(life.clone(), signals).is_some() {
             return;
         }
         self.order.push_back(life);
-        if self.order.len() > MOST_KEPT
+        if self.order.len() > MAX_STORED
             && let Some(oldest) = self.order.pop_front()
         {
-            self.kept.remove(&oldest);
+            self.stored.remove(&oldest);
         }
     }
 }
@@ -80,7 +80,7 @@
 impl Placement {
     /// Records a signal that the upstream is leaving; returns whether that is new.
     pub fn leaves(&mut self, choice: &Choice) -> bool {
-        let before = self.change_said(choice, |said| said.is_leaving = true);
+        let before = self.update_signals(choice, |signals| signals.is_leaving = true);
         !before.is_leaving
     }
 
@@ -91,10 +91,10 @@
             return false;
         }
         let until = Some(now + rest.ms());
-        let before = self.change_said(choice, |said| {
-            said.rests_until = said.rests_until.max(until);
+        let before = self.update_signals(choice, |signals| {
+            signals.backoff_until = signals.backoff_until.max(until);
         });
-        !before.is_resting(now)
+        !before.is_backing_off(now)
     }
 
     /// Records a signal in an answer that can't be parsed; returns whether it is the first one.
@@ -105,7 +105,7 @@
     /// Records a signal in a health answer that can't be parsed; returns whether it is the first
     /// one.
     pub fn health_is_unreadable(&mut self, life: &UpstreamLife) -> bool {
-        let before = self.change_said_by(life, |said| said.is_unreadable = true);
+        let before = self.update_signals_of(life, |signals| signals.is_unreadable = true);
         !before.is_unreadable
     }
 
@@ -117,12 +117,12 @@
         };
         let was_cold = self.is_cold(life, now);
         let until = now + for_ms.min(longest_ms) + COLD_MARGIN_MS;
-        let cold = SaidCold {
-            heard_at: now,
+        let cold = ColdSignal {
+            received_at: now,
             until,
         };
-        self.change_said_by(life, |said| said.cold = Some(cold));
-        if let Some(entry) = self.held_by(life) {
+        self.update_signals_of(life, |signals| signals.cold = Some(cold));
+        if let Some(entry) = self.entry_mut_of(life) {
             entry.cold_until = entry.cold_until.max(until);
         }
         !was_cold
@@ -141,24 +141,24 @@
     }
 
     /// Ends the backoff after the upstream has answered a request.
-    pub(super) fn serves_again(&mut self, choice: &Choice) {
-        self.change_said(choice, |said| said.rests_until = None);
+    pub(super) fn end_backoff(&mut self, choice: &Choice) {
+        self.update_signals(choice, |signals| signals.backoff_until = None);
     }
 
     /// Updates the signals of the chosen upstream; returns the previous ones.
-    fn change_said(&mut self, choice: &Choice, change: impl FnOnce(&mut Said)) -> Said {
-        self.change_said_by(&choice.life(), change)
+    fn update_signals(&mut self, choice: &Choice, change: impl FnOnce(&mut Signals)) -> Signals {
+        self.update_signals_of(&choice.life(), change)
     }
 
     /// Updates the signals of an upstream; returns the previous ones.
-    fn change_said_by(&mut self, life: &UpstreamLife, change: impl FnOnce(&mut Said)) -> Said {
-        let before = self.said.of(life);
-        let mut said = before;
-        change(&mut said);
-        if said != before {
-            self.said.keep(life.clone(), said);
-            if let Some(entry) = self.held_by(life) {
-                entry.said = said;
+    fn update_signals_of(&mut self, life: &UpstreamLife, change: impl FnOnce(&mut Signals)) -> Signals {
+        let before = self.signals.of(life);
+        let mut signals = before;
+        change(&mut signals);
+        if signals != before {
+            self.signals.store(life.clone(), signals);
+            if let Some(entry) = self.entry_mut_of(life) {
+                entry.signals = signals;
             }
         }
         before
--- a/crates/routing/src/placement/status.rs
+++ b/crates/routing/src/placement/status.rs
@@ -18,8 +18,10 @@
     /// Upstreams whose limit leaves this box no capacity now.
     pub held_off: usize,
     /// Upstreams that asked this box to back off.
+    #[serde(rename = "resting")]
     pub resting: usize,
     /// Upstreams that failed recently and are probed now and then.
+    #[serde(rename = "left_out")]
     pub left_out: usize,
     /// Upstreams that announced that they are leaving.
     pub leaving: usize,
@@ -28,6 +30,7 @@
     /// Upstreams whose address another upstream now uses.
     pub replaced: usize,
     /// Upstreams that stay in use although their entries were lost together with many others.
+    #[serde(rename = "kept")]
     pub kept: Vec<KeptUpstream>,
 }
 
@@ -39,6 +42,7 @@
     /// How long ago this box learned that the entry was lost, in milliseconds.
     pub lost_ms: Millis,
     /// How much longer it stays in use, in milliseconds.
+    #[serde(rename = "kept_for_ms")]
     pub kept_for_ms: Millis,
 }
 
@@ -68,7 +72,7 @@
             &mut self.evacuated
         } else if entry.is_replaced {
             &mut self.replaced
-        } else if entry.said.is_resting(now) {
+        } else if entry.signals.is_backing_off(now) {
             &mut self.resting
         } else if !entry.is_usable(now) {
             &mut self.left_out
@@ -87,8 +91,8 @@
     let lost = entry.lost?;
     Some(KeptUpstream {
         upstream: entry.record.id.clone(),
-        lost_ms: now.saturating_sub(lost.heard_at),
-        kept_for_ms: lost.kept_until.saturating_sub(now),
+        lost_ms: now.saturating_sub(lost.detected_at),
+        kept_for_ms: lost.retained_until.saturating_sub(now),
     })
 }
 
@@ -97,8 +101,8 @@
     pub fn status(&self, now: Millis) -> Vec<ServiceStatus> {
         let status = |(name, upstreams): (&Service, &super::ServiceUpstreams)| {
             let mut status = ServiceStatus::new(name.clone());
-            let held = upstreams.entries.iter().filter(|entry| entry.is_held(now));
-            held.for_each(|entry| status.count(entry, now));
+            let current = upstreams.entries.iter().filter(|entry| entry.is_current(now));
+            current.for_each(|entry| status.count(entry, now));
             status
         };
         let mut all: Vec<ServiceStatus> = self.services.iter().map(status).collect();
--- a/crates/routing/src/placement/warming.rs
+++ b/crates/routing/src/placement/warming.rs
@@ -22,7 +22,7 @@
 
 impl Warming<'_> {
     /// Whether this box is one of the boxes that warm the upstream.
-    fn is_mine(&self, upstream: u64) -> bool {
+    fn is_warmer(&self, upstream: u64) -> bool {
         self.rank(upstream) < ColdPacing::warmers(self.boxes.len())
     }
 
@@ -33,10 +33,10 @@
 
     /// Returns the number of boxes ranked before this one for the upstream.
     fn rank(&self, upstream: u64) -> usize {
-        let mine = weighted_score(upstream, self.me, 1.0);
+        let own_score = weighted_score(upstream, self.me, 1.0);
         let boxes = self.boxes.iter();
         boxes
-            .filter(|other| weighted_score(upstream, **other, 1.0) > mine)
+            .filter(|other| weighted_score(upstream, **other, 1.0) > own_score)
             .count()
     }
 }
@@ -46,14 +46,14 @@
     /// is the one to send the first.
     pub(super) fn never_used(
         &self,
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         warming: &Warming<'_>,
         now: Millis,
     ) -> Option<usize> {
         self.entries.iter().position(|entry| {
             !entry.is_used
                 && now.saturating_sub(entry.joined_at) >= FIRST_USE_MS
-                && is_usable(entry, wanted, now)
+                && is_usable(entry, request, now)
                 && entry.fullness(now) < 1.0
                 && warming.is_first(entry.hash)
         })
@@ -63,17 +63,17 @@
     /// it.
     pub(super) fn cold(
         &mut self,
-        wanted: &Wanted<'_>,
+        request: &Wanted<'_>,
         warming: &Warming<'_>,
         now: Millis,
     ) -> Option<usize> {
         let boxes = warming.boxes.len();
-        let part = ColdPacing::group_part(boxes, warming.fleet_size);
-        let cold_per_s = self.cold_per_s * part;
+        let fraction = ColdPacing::group_part(boxes, warming.fleet_size);
+        let cold_per_s = self.cold_per_s * fraction;
         self.entries.iter_mut().position(|entry| {
-            is_usable(entry, wanted, now)
+            is_usable(entry, request, now)
                 && entry.is_cold(now)
-                && warming.is_mine(entry.hash)
+                && warming.is_warmer(entry.hash)
                 && entry.pacing.admit(cold_per_s, boxes, warming.random, now)
         })
     }
--- a/crates/routing/src/region_plan.rs
+++ b/crates/routing/src/region_plan.rs
@@ -10,13 +10,13 @@
 /// Factor by which a region may exceed its even share of the load to keep requests near their
 /// callers. At 1.6 its upstreams were full while others had capacity; 1.25 raised the total answer
 /// value by 0.010 ± 0.007 and 0.006 ± 0.006 (two loads).
-const LOCAL_PREFERENCE: f64 = 1.25;
+const LOCAL_PREFERENCE_FACTOR: f64 = 1.25;
 
 /// Fraction of the shift limit that the plan uses; the rest covers randomness and spills.
-const USED_PART_OF_BOUND: f64 = 0.6;
+const USED_LIMIT_FRACTION: f64 = 0.6;
 
 /// Window of the shift limit.
-const BOUND_WINDOW_MS: f64 = 2_000.0;
+const SHIFT_WINDOW_MS: f64 = 2_000.0;
 
 /// Capacity and demand of one region for a service.
 #[derive(Clone, Debug, PartialEq)]
@@ -32,32 +32,32 @@
 /// The shares of one origin region's requests, by region of execution.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RegionPlan {
-    parts: BTreeMap<Region, f64>,
+    shares: BTreeMap<Region, f64>,
     moved_at: Option<Millis>,
 }
 
 impl RegionPlan {
     /// Returns the share of `region`, from 0 to 1.
     pub fn part(&self, region: &Region) -> f64 {
-        self.parts.get(region).copied().unwrap_or(0.0)
+        self.shares.get(region).copied().unwrap_or(0.0)
     }
 
-    /// Moves the shares toward the balance for `rooms`, no faster than `most_shift` allows. A
+    /// Moves the shares toward the balance for `capacities`, no faster than `most_shift` allows. A
     /// region without capacity gets nothing from now on.
-    pub fn advance(&mut self, origin: &Region, rooms: &[RegionRoom], most_shift: f64, now: Millis) {
-        let goal = goal(origin, rooms);
+    pub fn advance(&mut self, origin: &Region, capacities: &[RegionRoom], most_shift: f64, now: Millis) {
+        let target_shares = target_shares(origin, capacities);
         let Some(moved_at) = self.moved_at.replace(now) else {
-            self.parts = goal;
+            self.shares = target_shares;
             return;
         };
-        self.drop_empty(rooms);
-        if self.parts.is_empty() {
-            self.parts = goal;
+        self.remove_without_capacity(capacities);
+        if self.shares.is_empty() {
+            self.shares = target_shares;
             return;
         }
         let elapsed = now.saturating_sub(moved_at) as f64;
-        let step = most_shift * USED_PART_OF_BOUND * elapsed / BOUND_WINDOW_MS;
-        let distance: f64 = goal
+        let step = most_shift * USED_LIMIT_FRACTION * elapsed / SHIFT_WINDOW_MS;
+        let distance: f64 = target_shares
             .iter()
             .map(|(region, part)| (part - self.part(region)).max(0.0))
             .sum();
@@ -66,28 +66,28 @@
         } else {
             1.0
         };
-        let regions: BTreeSet<Region> = self.parts.keys().chain(goal.keys()).cloned().collect();
+        let regions: BTreeSet<Region> = self.shares.keys().chain(target_shares.keys()).cloned().collect();
         for region in regions {
-            let wanted = goal.get(&region).copied().unwrap_or(0.0);
-            let part = self.parts.entry(region).or_insert(0.0);
-            *part += (wanted - *part) * fraction;
+            let target = target_shares.get(&region).copied().unwrap_or(0.0);
+            let part = self.shares.entry(region).or_insert(0.0);
+            *part += (target - *part) * fraction;
         }
     }
 
     /// Removes regions without capacity and distributes their shares over the others.
-    fn drop_empty(&mut self, rooms: &[RegionRoom]) {
-        let has_room = |region: &Region| {
-            rooms
+    fn remove_without_capacity(&mut self, capacities: &[RegionRoom]) {
+        let has_capacity = |region: &Region| {
+            capacities
                 .iter()
-                .any(|room| &room.region == region && room.slots > 0.0)
+                .any(|capacity| &capacity.region == region && capacity.slots > 0.0)
         };
-        self.parts.retain(|region, _| has_room(region));
-        let total: f64 = self.parts.values().sum();
+        self.shares.retain(|region, _| has_capacity(region));
+        let total: f64 = self.shares.values().sum();
         if total <= 0.0 {
-            self.parts.clear();
+            self.shares.clear();
             return;
         }
-        for part in self.parts.values_mut() {
+        for part in self.shares.values_mut() {
             *part /= total;
         }
     }
@@ -95,58 +95,58 @@
 
 /// Returns the shares that balance load, with a preference for the origin. While no demand is
 /// known, all regions are assumed to have equal demand.
-fn goal(origin: &Region, rooms: &[RegionRoom]) -> BTreeMap<Region, f64> {
-    if rooms.iter().all(|room| room.demand <= 0.0) {
-        let asking_alike: Vec<RegionRoom> = rooms
+fn target_shares(origin: &Region, capacities: &[RegionRoom]) -> BTreeMap<Region, f64> {
+    if capacities.iter().all(|capacity| capacity.demand <= 0.0) {
+        let equal_demand: Vec<RegionRoom> = capacities
             .iter()
-            .map(|room| RegionRoom {
+            .map(|capacity| RegionRoom {
                 demand: 1.0,
-                ..room.clone()
+                ..capacity.clone()
             })
             .collect();
-        return balanced(origin, &asking_alike);
+        return balanced_shares(origin, &equal_demand);
     }
-    balanced(origin, rooms)
+    balanced_shares(origin, capacities)
 }
 
-fn balanced(origin: &Region, rooms: &[RegionRoom]) -> BTreeMap<Region, f64> {
-    let slots: f64 = rooms.iter().map(|room| room.slots).sum();
-    let demand: f64 = rooms.iter().map(|room| room.demand).sum();
+fn balanced_shares(origin: &Region, capacities: &[RegionRoom]) -> BTreeMap<Region, f64> {
+    let slots: f64 = capacities.iter().map(|capacity| capacity.slots).sum();
+    let demand: f64 = capacities.iter().map(|capacity| capacity.demand).sum();
     if slots <= 0.0 {
         return BTreeMap::new();
     }
-    let own_demand = rooms
+    let own_demand = capacities
         .iter()
-        .find(|room| &room.region == origin)
-        .map_or(0.0, |room| room.demand);
+        .find(|capacity| &capacity.region == origin)
+        .map_or(0.0, |capacity| capacity.demand);
     if own_demand <= 0.0 {
-        let even = |room: &RegionRoom| (room.region.clone(), room.slots / slots);
-        return rooms.iter().map(even).collect();
+        let even = |capacity: &RegionRoom| (capacity.region.clone(), capacity.slots / slots);
+        return capacities.iter().map(even).collect();
     }
-    let intake = |room: &RegionRoom| room.slots / slots * demand * LOCAL_PREFERENCE;
-    let kept = |room: &RegionRoom| intake(room).min(room.demand);
-    let left_over = |room: &RegionRoom| intake(room) - kept(room);
-    let all_left_over: f64 = rooms
+    let intake = |capacity: &RegionRoom| capacity.slots / slots * demand * LOCAL_PREFERENCE_FACTOR;
+    let kept_demand = |capacity: &RegionRoom| intake(capacity).min(capacity.demand);
+    let spare = |capacity: &RegionRoom| intake(capacity) - kept_demand(capacity);
+    let total_spare: f64 = capacities
         .iter()
-        .filter(|room| &room.region != origin)
-        .map(left_over)
+        .filter(|capacity| &capacity.region != origin)
+        .map(spare)
         .sum();
-    let own_kept = rooms
+    let own_kept_demand = capacities
         .iter()
-        .find(|room| &room.region == origin)
-        .map_or(0.0, kept);
-    let sent_away = (own_demand - own_kept) / own_demand;
-    let part = |room: &RegionRoom| {
-        if &room.region == origin {
+        .find(|capacity| &capacity.region == origin)
+        .map_or(0.0, kept_demand);
+    let sent_away = (own_demand - own_kept_demand) / own_demand;
+    let part = |capacity: &RegionRoom| {
+        if &capacity.region == origin {
             1.0 - sent_away
-        } else if all_left_over > 0.0 {
-            sent_away * left_over(room) / all_left_over
+        } else if total_spare > 0.0 {
+            sent_away * spare(capacity) / total_spare
         } else {
             0.0
         }
     };
-    rooms
+    capacities
         .iter()
-        .map(|room| (room.region.clone(), part(room)))
+        .map(|capacity| (capacity.region.clone(), part(capacity)))
         .collect()
 }
--- a/crates/routing/src/rendezvous.rs
+++ b/crates/routing/src/rendezvous.rs
@@ -8,14 +8,14 @@
     mix(xxh3_64(service.as_bytes()), xxh3_64(object))
 }
 
-/// Returns the score of `place` for `object`; the highest score wins. A node with twice the weight
+/// Returns the score of `node` for `object`; the highest score wins. A node with twice the weight
 /// wins twice as many objects.
-pub fn weighted_score(object: u64, place: u64, weight: f64) -> f64 {
+pub fn weighted_score(object: u64, node: u64, weight: f64) -> f64 {
     if weight <= 0.0 {
         return 0.0;
     }
     // 53 bits fit a float exactly; adding 0.5 keeps the logarithm finite.
-    let bits = mix(object, place) >> 11;
+    let bits = mix(object, node) >> 11;
     let uniform = (bits as f64 + 0.5) / (1_u64 << 53) as f64;
     -weight / uniform.ln()
 }
--- a/crates/routing/src/retry_budget.rs
+++ b/crates/routing/src/retry_budget.rs
@@ -7,7 +7,7 @@
 const BUCKET_MS: Millis = 500;
 
 /// Fraction of the limit that is used; the rest covers counts that lag.
-const USED_PART: f64 = 0.7;
+const USED_FRACTION: f64 = 0.7;
 
 /// The limit for all boxes together.
 #[derive(Clone, Copy, Debug)]
@@ -24,7 +24,7 @@
 struct Bucket {
     index: u64,
     requests: u32,
-    repeats: u32,
+    retries: u32,
 }
 
 /// One box's share of the budget for one service.
@@ -55,7 +55,7 @@
         if self.left(boxes, now) < 1.0 {
             return false;
         }
-        self.bucket(now).repeats += 1;
+        self.bucket(now).retries += 1;
         true
     }
 
@@ -64,18 +64,18 @@
         let newest = now / BUCKET_MS;
         let oldest = newest.saturating_sub(self.buckets.len() as u64 - 1);
         let in_window = self.buckets.iter().filter(|bucket| bucket.index >= oldest);
-        let (requests, repeats) = in_window.fold((0, 0), |(requests, repeats), bucket| {
-            (requests + bucket.requests, repeats + bucket.repeats)
+        let (requests, retries) = in_window.fold((0, 0), |(requests, retries), bucket| {
+            (requests + bucket.requests, retries + bucket.retries)
         });
         let extra = self.settings.extra / boxes.max(1) as f64;
-        let allowed = (self.settings.ratio * f64::from(requests) + extra) * USED_PART;
-        allowed - f64::from(repeats)
+        let allowed = (self.settings.ratio * f64::from(requests) + extra) * USED_FRACTION;
+        allowed - f64::from(retries)
     }
 
     fn bucket(&mut self, now: Millis) -> &mut Bucket {
         let index = now / BUCKET_MS;
-        let place = (index % self.buckets.len() as u64) as usize;
-        let bucket = &mut self.buckets[place];
+        let slot = (index % self.buckets.len() as u64) as usize;
+        let bucket = &mut self.buckets[slot];
         if bucket.index != index {
             *bucket = Bucket {
                 index,
--- a/crates/routing/src/route_table.rs
+++ b/crates/routing/src/route_table.rs
@@ -53,6 +53,6 @@
         self.lengths
             .iter()
             .filter_map(|Reverse(length)| path.get(..*length))
-            .find_map(|start| self.by_prefix.get(start))
+            .find_map(|prefix| self.by_prefix.get(prefix))
     }
 }
--- a/crates/routing/src/upstream_load.rs
+++ b/crates/routing/src/upstream_load.rs
@@ -14,7 +14,7 @@
 const FIRST_EJECTION_MS: Millis = 500;
 
 /// Longest ejection of a failing upstream.
-const LONGEST_EJECTION_MS: Millis = 4_000;
+const MAX_EJECTION_MS: Millis = 4_000;
 
 /// Consecutive unanswered requests that eject an upstream.
 const FAILURES_TO_EJECT: u32 = 2;
@@ -110,17 +110,17 @@
     /// Returns the estimated number of requests at the upstream, running and waiting.
     pub fn estimate(&self, now: Millis) -> f64 {
         let age = now.saturating_sub(self.reported_at) as f64;
-        let kept = 0.5_f64.powf(age / REPORT_HALF_LIFE_MS);
-        f64::from(self.in_flight) + self.others * kept
+        let weight = 0.5_f64.powf(age / REPORT_HALF_LIFE_MS);
+        f64::from(self.in_flight) + self.others * weight
     }
 
     fn eject(&mut self, now: Millis) {
         if now < self.ejected_until {
             return;
         }
-        let time = FIRST_EJECTION_MS << self.ejections.min(8);
+        let duration_ms = FIRST_EJECTION_MS << self.ejections.min(8);
         self.ejections += 1;
         self.failures = 0;
-        self.ejected_until = now + time.min(LONGEST_EJECTION_MS);
+        self.ejected_until = now + duration_ms.min(MAX_EJECTION_MS);
     }
 }
