--- a/crates/routing/src/cold_pacing.rs
+++ b/crates/routing/src/cold_pacing.rs
@@ -33,7 +33,11 @@
     /// fleet of `boxes`. Over all groups the fractions add up to at most 2.
     pub fn group_part(reachable: usize, boxes: usize) -> f64 {
         let fraction = reachable as f64 / boxes.max(1) as f64;
-        if fraction >= FULL_RATE_MIN_FRACTION { 1.0 } else { fraction }
+        if fraction >= FULL_RATE_MIN_FRACTION {
+            1.0
+        } else {
+            fraction
+        }
     }
 
     /// Whether a request may go to the cold upstream now; counts it if so. The first request waits
@@ -44,7 +48,9 @@
             return false;
         }
         let interval_ms = 1_000.0 * Self::warmers(boxes) as f64 / (cold_per_s * RATE_FRACTION);
-        let next = *self.next_at.get_or_insert(now + (random * interval_ms) as Millis);
+        let next = *self
+            .next_at
+            .get_or_insert(now + (random * interval_ms) as Millis);
         if now < next {
             return false;
         }
--- a/crates/routing/src/look_up.rs
+++ b/crates/routing/src/look_up.rs
@@ -43,9 +43,16 @@
 
 /// Returns the boxes for a caller in `zone`; `region_boxes` are the boxes of its region.
 pub fn named(region_boxes: &[NamedBox], zone: &Zone, random: &mut impl Rng) -> Vec<SocketAddr> {
-    let own: Vec<&NamedBox> = region_boxes.iter().filter(|candidate| &candidate.zone == zone).collect();
+    let own: Vec<&NamedBox> = region_boxes
+        .iter()
+        .filter(|candidate| &candidate.zone == zone)
+        .collect();
     let stays_in_zone = own.len() >= MIN_ZONE_BOXES && !is_overloaded(region_boxes, zone);
-    let candidates = if stays_in_zone { own } else { region_boxes.iter().collect() };
+    let candidates = if stays_in_zone {
+        own
+    } else {
+        region_boxes.iter().collect()
+    };
     draw(candidates, random)
 }
 
@@ -74,7 +81,10 @@
 /// (Efraimidis and Spirakis, 2006: the largest of `uniform^(1/weight)`).
 fn draw(candidates: Vec<&NamedBox>, random: &mut impl Rng) -> Vec<SocketAddr> {
     if candidates.len() <= MOST_NAMED {
-        return candidates.iter().map(|candidate| candidate.address).collect();
+        return candidates
+            .iter()
+            .map(|candidate| candidate.address)
+            .collect();
     }
     let mut drawn: Vec<(f64, SocketAddr)> = candidates
         .iter()
--- a/crates/routing/src/placement/coordinators.rs
+++ b/crates/routing/src/placement/coordinators.rs
@@ -84,7 +84,8 @@
         if is_same {
             return;
         }
-        self.coordinators = Coordinators::new(boxes, &self.settings.me, self.settings.least_keepers);
+        self.coordinators =
+            Coordinators::new(boxes, &self.settings.me, self.settings.least_keepers);
         for service in self.services.values_mut() {
             for entry in &mut service.entries {
                 entry.is_coordinated_here = self.coordinators.is_coordinator(entry.hash);
--- a/crates/routing/src/placement/entry.rs
+++ b/crates/routing/src/placement/entry.rs
@@ -1,8 +1,8 @@
 //! State of one upstream in placement.
 
 use super::REVIEW_MS;
-use super::signals::Signals;
 use super::shared_load::SharedLoad;
+use super::signals::Signals;
 use crate::cold_pacing::ColdPacing;
 use crate::upstream::{UpstreamLife, UpstreamRecord, UpstreamState};
 use crate::upstream_load::UpstreamLoad;
@@ -97,7 +97,9 @@
         self.is_evacuated
             || self.is_cold(now)
             || self.load.is_unreachable()
-            || self.available_at().is_some_and(|until| now < until + REVIEW_MS)
+            || self
+                .available_at()
+                .is_some_and(|until| now < until + REVIEW_MS)
     }
 
     /// Returns when its limit and its backoff end, also if that is past; `None` if it never had
--- a/crates/routing/src/placement/homes.rs
+++ b/crates/routing/src/placement/homes.rs
@@ -53,7 +53,9 @@
         let homes = regions.iter().enumerate();
         homes
             .filter_map(|(position, region)| {
-                advised.filter(|_| is_first(position)).or_else(|| own(region))
+                advised
+                    .filter(|_| is_first(position))
+                    .or_else(|| own(region))
             })
             .collect()
     }
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -14,13 +14,13 @@
 
 mod advice;
 mod basis;
+mod coordinators;
 mod entry;
 mod homes;
-mod coordinators;
 mod lost_entries;
-mod signals;
 mod service_upstreams;
 mod shared_load;
+mod signals;
 mod spill;
 mod status;
 mod warming;
@@ -35,12 +35,12 @@
 pub use advice::{Advice, Ending, Question};
 pub use basis::{AdvisedHome, Basis, Home, HomeState};
 use brasswinch_types::{BoxId, Millis, Region, Service, UpstreamId, Zone};
-use entry::Entry;
 use coordinators::Coordinators;
+use entry::Entry;
 use lost_entries::LostEntries;
-use signals::SignalStore;
 use serde::{Deserialize, Serialize};
 use service_upstreams::ServiceUpstreams;
+use signals::SignalStore;
 pub use status::{KeptUpstream, ServiceStatus};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -224,7 +224,10 @@
         for (record, learned_at) in fleet.upstreams() {
             addresses.insert(record.address);
             let mut continued = previous.remove(&record.id);
-            if continued.as_ref().is_some_and(|previous| !previous.is_same_incarnation(record)) {
+            if continued
+                .as_ref()
+                .is_some_and(|previous| !previous.is_same_incarnation(record))
+            {
                 // A restarted process keeps no requests or objects of its previous incarnation.
                 restarted.push(record.id.clone());
                 continued = None;
@@ -235,7 +238,9 @@
         let lost = previous
             .into_values()
             .filter(|entry| fleet.lost_entry(&entry.record.id).is_some())
-            .filter(|entry| entry.accepts_requests(now) && !addresses.contains(&entry.record.address))
+            .filter(|entry| {
+                entry.accepts_requests(now) && !addresses.contains(&entry.record.address)
+            })
             .collect();
         let kept = self.retain_lost_entries(lost, fleet, now);
         for (name, service) in &mut self.services {
@@ -318,12 +323,22 @@
                 None => !self.is_in_use(&record.service),
             },
             is_evacuated: fleet.is_evacuated(&record.zone),
-            held_off_until: previous.as_ref().and_then(|previous| previous.held_off_until),
-            is_replaced: previous.as_ref().is_some_and(|previous| previous.is_replaced),
+            held_off_until: previous
+                .as_ref()
+                .and_then(|previous| previous.held_off_until),
+            is_replaced: previous
+                .as_ref()
+                .is_some_and(|previous| previous.is_replaced),
             signals,
             senders: previous.as_ref().map_or(1.0, |previous| previous.senders),
-            load: previous.as_ref().map(|previous| previous.load).unwrap_or_default(),
-            pacing: previous.as_ref().map(|previous| previous.pacing).unwrap_or_default(),
+            load: previous
+                .as_ref()
+                .map(|previous| previous.load)
+                .unwrap_or_default(),
+            pacing: previous
+                .as_ref()
+                .map(|previous| previous.pacing)
+                .unwrap_or_default(),
             is_coordinated_here: match &previous {
                 Some(previous) => previous.is_coordinated_here,
                 None => self.coordinators.is_coordinator(hash),
--- a/crates/routing/src/placement/service_upstreams.rs
+++ b/crates/routing/src/placement/service_upstreams.rs
@@ -91,9 +91,14 @@
         }
         match chosen {
             Some(index) => Ok(self.start(index, basis, now)),
-            None if regions.is_empty() && !self.has_candidates(request, now) => Err(Refusal::NoUpstream),
+            None if regions.is_empty() && !self.has_candidates(request, now) => {
+                Err(Refusal::NoUpstream)
+            }
             None => Err(Refusal::Busy {
-                retry_after_ms: with_added_jitter(self.available_in_ms(request, now), warming.random),
+                retry_after_ms: with_added_jitter(
+                    self.available_in_ms(request, now),
+                    warming.random,
+                ),
                 basis,
             }),
         }
@@ -103,8 +108,11 @@
     /// full; if limits and backoffs block all upstreams, no earlier than the first of them ends.
     fn available_in_ms(&self, request: &Wanted<'_>, now: Millis) -> Millis {
         let entries = self.entries.iter();
-        let accepting = entries.filter(|entry| entry.accepts_requests(now) && is_allowed(entry, request));
-        let first_free = accepting.map(|entry| entry.available_at().unwrap_or(0)).min();
+        let accepting =
+            entries.filter(|entry| entry.accepts_requests(now) && is_allowed(entry, request));
+        let first_free = accepting
+            .map(|entry| entry.available_at().unwrap_or(0))
+            .min();
         let wait_ms = first_free.map_or(0, |at| at.saturating_sub(now));
         wait_ms.max(MIN_RETRY_MS)
     }
@@ -170,7 +178,11 @@
             let region_hash = object_hash("region", entry.region.as_str().as_bytes());
             let share = self.plan.part(&entry.region);
             let tie = weighted_score(object, region_hash, 1.0);
-            ranked.push((weighted_score(object, region_hash, share), tie, &entry.region));
+            ranked.push((
+                weighted_score(object, region_hash, share),
+                tie,
+                &entry.region,
+            ));
         }
         ranked.sort_by(|a, b| b.0.total_cmp(&a.0).then(b.1.total_cmp(&a.1)));
         ranked
@@ -203,7 +215,12 @@
 
     /// Returns the first home whose queue is short enough, within the spill window; otherwise the
     /// first of all, up to a higher queue limit.
-    fn in_queue(&mut self, homes: &[HomeSnapshot], request: &Wanted<'_>, now: Millis) -> Option<usize> {
+    fn in_queue(
+        &mut self,
+        homes: &[HomeSnapshot],
+        request: &Wanted<'_>,
+        now: Millis,
+    ) -> Option<usize> {
         let fraction = self.queue_fraction(request, now);
         let may_leave = self.is_disturbed(now) || self.spills.may_queue_elsewhere();
         let first = homes.first()?;
--- a/crates/routing/src/placement/shared_load.rs
+++ b/crates/routing/src/placement/shared_load.rs
@@ -92,7 +92,10 @@
     }
 
     fn remember(&mut self, object: u64, has_served: bool) {
-        let stored = self.objects.iter().position(|(stored, _)| *stored == object);
+        let stored = self
+            .objects
+            .iter()
+            .position(|(stored, _)| *stored == object);
         let had_served = stored
             .and_then(|index| self.objects.remove(index))
             .is_some_and(|(_, had_served)| had_served);
--- a/crates/routing/src/placement/signals.rs
+++ b/crates/routing/src/placement/signals.rs
@@ -151,7 +151,11 @@
     }
 
     /// Updates the signals of an upstream; returns the previous ones.
-    fn update_signals_of(&mut self, life: &UpstreamLife, change: impl FnOnce(&mut Signals)) -> Signals {
+    fn update_signals_of(
+        &mut self,
+        life: &UpstreamLife,
+        change: impl FnOnce(&mut Signals),
+    ) -> Signals {
         let before = self.signals.of(life);
         let mut signals = before;
         change(&mut signals);
--- a/crates/routing/src/placement/status.rs
+++ b/crates/routing/src/placement/status.rs
@@ -101,7 +101,10 @@
     pub fn status(&self, now: Millis) -> Vec<ServiceStatus> {
         let status = |(name, upstreams): (&Service, &super::ServiceUpstreams)| {
             let mut status = ServiceStatus::new(name.clone());
-            let current = upstreams.entries.iter().filter(|entry| entry.is_current(now));
+            let current = upstreams
+                .entries
+                .iter()
+                .filter(|entry| entry.is_current(now));
             current.for_each(|entry| status.count(entry, now));
             status
         };
--- a/crates/routing/src/region_plan.rs
+++ b/crates/routing/src/region_plan.rs
@@ -44,7 +44,13 @@
 
     /// Moves the shares toward the balance for `capacities`, no faster than `most_shift` allows. A
     /// region without capacity gets nothing from now on.
-    pub fn advance(&mut self, origin: &Region, capacities: &[RegionRoom], most_shift: f64, now: Millis) {
+    pub fn advance(
+        &mut self,
+        origin: &Region,
+        capacities: &[RegionRoom],
+        most_shift: f64,
+        now: Millis,
+    ) {
         let target_shares = target_shares(origin, capacities);
         let Some(moved_at) = self.moved_at.replace(now) else {
             self.shares = target_shares;
@@ -66,7 +72,12 @@
         } else {
             1.0
         };
-        let regions: BTreeSet<Region> = self.shares.keys().chain(target_shares.keys()).cloned().collect();
+        let regions: BTreeSet<Region> = self
+            .shares
+            .keys()
+            .chain(target_shares.keys())
+            .cloned()
+            .collect();
         for region in regions {
             let target = target_shares.get(&region).copied().unwrap_or(0.0);
             let part = self.shares.entry(region).or_insert(0.0);
--- a/crates/routing/tests/keeping.rs
+++ b/crates/routing/tests/keeping.rs
@@ -158,7 +158,10 @@
     };
     assert_eq!(per_upstream.len(), 6);
     assert!(spread(&per_upstream) <= 2, "{per_upstream:?}");
-    assert!(spread(&by_home) >= 4, "rendezvous hashing alone: {by_home:?}");
+    assert!(
+        spread(&by_home) >= 4,
+        "rendezvous hashing alone: {by_home:?}"
+    );
 }
 
 #[test]
@@ -209,7 +212,10 @@
     let completion = answered(&query, &advice);
     boxes.end(&coordinator, &completion, 3);
     boxes.end(&coordinator, &completion, 3);
-    let unknown = Ending { id: 9_999, ..completion };
+    let unknown = Ending {
+        id: 9_999,
+        ..completion
+    };
     boxes.end(&coordinator, &unknown, 3);
     let (_, _, advice) = boxes.ask(1, "7", 3);
     let one = 1.0 / SLOTS as f32;
@@ -255,7 +261,10 @@
         if id == coordinator {
             continue;
         }
-        assert_eq!(advice.upstream, query.home, "{id} coordinates other upstreams");
+        assert_eq!(
+            advice.upstream, query.home,
+            "{id} coordinates other upstreams"
+        );
     }
 }
 
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -86,7 +86,10 @@
     let mut leaving = record(1_000);
     leaving.state = brasswinch_routing::UpstreamState::Draining;
     assert!(!test.write(3, leaving, 50));
-    assert!(test.choose(51).is_some(), "the later incarnation accepts requests");
+    assert!(
+        test.choose(51).is_some(),
+        "the later incarnation accepts requests"
+    );
     let gone = Change::Gone(ChangeKey::Upstream("u-1".into()));
     test.fleet.apply(revised(4, gone), 60);
     test.placement.update(&test.fleet, &config(1), 60);
@@ -144,7 +147,10 @@
     test.write(3, record(1_000), 50);
     assert!(test.choose(60).is_none());
     test.write(4, record(5_000), 70);
-    assert!(test.choose(80).is_some(), "its next incarnation is not leaving");
+    assert!(
+        test.choose(80).is_some(),
+        "its next incarnation is not leaving"
+    );
 }
 
 /// Guards against one log line for each answer with a signal that can't be parsed.
--- a/crates/routing/tests/look_up.rs
+++ b/crates/routing/tests/look_up.rs
@@ -44,7 +44,9 @@
         let names: BTreeSet<SocketAddr> = named(&region_boxes, &zone(number), &mut random())
             .into_iter()
             .collect();
-        let own = region_boxes.iter().filter(|candidate| candidate.zone == zone(number));
+        let own = region_boxes
+            .iter()
+            .filter(|candidate| candidate.zone == zone(number));
         assert_eq!(names, own.map(|candidate| candidate.address).collect());
     }
 }
@@ -65,7 +67,9 @@
         }
         for number in 0..PER_REGION {
             let names = named(&region_boxes, &zone(number), &mut random());
-            let own = region_boxes.iter().filter(|candidate| candidate.zone == zone(number));
+            let own = region_boxes
+                .iter()
+                .filter(|candidate| candidate.zone == zone(number));
             let own: BTreeSet<SocketAddr> = own.map(|candidate| candidate.address).collect();
             assert!(names.iter().all(|address| own.contains(address)));
             names
@@ -95,8 +99,12 @@
     assert!(answers.len() > 390, "{} different answers", answers.len());
     assert_eq!(counts.len(), 400, "every box is listed");
     let mean = |size: u32| {
-        let candidate = region_boxes.iter().filter(|candidate| candidate.size == size);
-        let counts: Vec<usize> = candidate.map(|candidate| counts[&candidate.address]).collect();
+        let candidate = region_boxes
+            .iter()
+            .filter(|candidate| candidate.size == size);
+        let counts: Vec<usize> = candidate
+            .map(|candidate| counts[&candidate.address])
+            .collect();
         counts.iter().sum::<usize>() as f64 / counts.len() as f64
     };
     let ratio = mean(100) / mean(20);
@@ -119,12 +127,17 @@
 #[test]
 fn a_burst_in_one_zone_spreads_over_its_region() {
     let mut region_boxes = region(3, 32);
-    for candidate in region_boxes.iter_mut().filter(|candidate| candidate.zone == zone(1)) {
+    for candidate in region_boxes
+        .iter_mut()
+        .filter(|candidate| candidate.zone == zone(1))
+    {
         candidate.requests_per_s = Some(60.0);
     }
     let names = named(&region_boxes, &zone(1), &mut random());
     assert_eq!(names.len(), MOST_NAMED);
-    let own = region_boxes.iter().filter(|candidate| candidate.zone == zone(1));
+    let own = region_boxes
+        .iter()
+        .filter(|candidate| candidate.zone == zone(1));
     let own: BTreeSet<SocketAddr> = own.map(|candidate| candidate.address).collect();
     let elsewhere = names.iter().filter(|name| !own.contains(name)).count();
     assert!(elsewhere >= 32, "{elsewhere} boxes of other zones");
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -199,7 +199,10 @@
     let empty = brasswinch_routing::Snapshot { scope, at, entries };
     test.fleet.apply_snapshot(empty, 20);
     test.placement.update(&test.fleet, &config(1), 20);
-    assert!(test.try_choose("1", &[], 1_000).is_ok(), "entries are retained");
+    assert!(
+        test.try_choose("1", &[], 1_000).is_ok(),
+        "entries are retained"
+    );
     assert_eq!(
         test.try_choose("1", &[], 2_100),
         Err(Refusal::NoUpstream),
@@ -229,7 +232,11 @@
     let used = |test: &mut Test, now| -> BTreeSet<UpstreamId> {
         objects().map(|object| test.visit(&object, now)).collect()
     };
-    assert_eq!(used(&mut test, 1_950).len(), 4, "upstreams that may still come back");
+    assert_eq!(
+        used(&mut test, 1_950).len(),
+        4,
+        "upstreams that may still come back"
+    );
     assert_eq!(used(&mut test, 2_050).len(), 2, "upstreams with an entry");
 }
 
@@ -249,7 +256,10 @@
     let used = |test: &mut Test, now| -> BTreeSet<UpstreamId> {
         objects().map(|object| test.visit(&object, now)).collect()
     };
-    assert!(used(&mut test, 2_150).len() > 2, "upstreams that may still come back");
+    assert!(
+        used(&mut test, 2_150).len() > 2,
+        "upstreams that may still come back"
+    );
     assert_eq!(used(&mut test, 2_250).len(), 2, "upstreams with an entry");
 }
 
@@ -281,7 +291,10 @@
         .ended(&choice, UpstreamOutcome::Unreachable, 10);
     assert_ne!(test.visit("1", 20), choice.upstream);
     let again = test.choose("1", 600);
-    assert_eq!(again.upstream, choice.upstream, "probed again after the ejection");
+    assert_eq!(
+        again.upstream, choice.upstream,
+        "probed again after the ejection"
+    );
     assert_ne!(
         test.visit("1", 601),
         choice.upstream,
@@ -318,7 +331,10 @@
             Err(Refusal::NoUpstream) => panic!("there are upstreams"),
         }
     }
-    assert!(away > 0 && refused > 0, "{away} in another region, {refused} refused");
+    assert!(
+        away > 0 && refused > 0,
+        "{away} in another region, {refused} refused"
+    );
 }
 
 /// An upstream that is the home of no requested object, or that stays cold for long, would never
@@ -387,13 +403,19 @@
     while let Ok(choice) = ask(placement, 2, 10) {
         active.push(choice);
     }
-    assert!(ask(placement, 1, 10).is_err(), "no urgent request was refused before");
+    assert!(
+        ask(placement, 1, 10).is_err(),
+        "no urgent request was refused before"
+    );
     let ended = active.pop().unwrap();
     placement.ended(&ended, UpstreamOutcome::Abandoned, 20);
     assert!(ask(placement, 2, 20).is_err(), "the free slot is reserved");
     let urgent = ask(placement, 1, 20).unwrap();
     placement.ended(&urgent, UpstreamOutcome::Abandoned, 30);
-    assert!(ask(placement, 2, 2_100).is_ok(), "no urgent request was refused recently");
+    assert!(
+        ask(placement, 2, 2_100).is_ok(),
+        "no urgent request was refused recently"
+    );
 }
 
 #[test]
@@ -455,7 +477,10 @@
     for now in 20..=20 + u64::from(SLOTS) {
         active.push(test.choose("1", now));
     }
-    let elsewhere = active.iter().filter(|choice| choice.upstream != home).count();
+    let elsewhere = active
+        .iter()
+        .filter(|choice| choice.upstream != home)
+        .count();
     assert_eq!(elsewhere, 0, "the home takes one more than its slots");
 }
 
@@ -537,7 +562,11 @@
     };
     test.placement.reported(&first, report, 1_002);
     let reported = seen(&test.choose("1", 1_002));
-    assert_eq!(reported, 3.0 / f64::from(SLOTS), "two of this box, one reported");
+    assert_eq!(
+        reported,
+        3.0 / f64::from(SLOTS),
+        "two of this box, one reported"
+    );
 }
 
 /// Upstreams with few slots that have all served their objects: a place in the queue takes a third
--- a/crates/routing/tests/resting_upstreams.rs
+++ b/crates/routing/tests/resting_upstreams.rs
@@ -54,7 +54,11 @@
     assert_ne!(test.choose(3_000).upstream, home.upstream);
     let first = test.choose(3_020);
     assert_eq!(first.upstream, home.upstream);
-    assert_ne!(test.choose(3_030).upstream, home.upstream, "one probe at a time");
+    assert_ne!(
+        test.choose(3_030).upstream,
+        home.upstream,
+        "one probe at a time"
+    );
     test.answered(&first, 3_200);
     let after = [test.choose(3_210), test.choose(3_211)];
     assert!(after.iter().all(|choice| choice.upstream == home.upstream));
