--- a/crates/routing/src/request_digest.rs
+++ b/crates/routing/src/request_digest.rs
@@ -1,4 +1,4 @@
-//! Tells a request that comes again from others, whoever sends it and wherever it arrives.
+//! Identifies a repeated request, whoever sends it and at whichever box it arrives.
 
 use brasswinch_types::Workspace;
 use serde::{Deserialize, Serialize};
@@ -6,29 +6,29 @@
 use std::fmt;
 use xxhash_rust::xxh3::Xxh3;
 
-/// What makes two requests the same: an upstream that runs both does the same work.
+/// The parts that make two requests the same: an upstream that runs both does the same work.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Whose it is; `None` where no key is needed.
+    /// The workspace; `None` where no key is needed.
     pub workspace: Option<&'a Workspace>,
     /// The method.
     pub method: &'a str,
-    /// The host asked for.
+    /// The requested host.
     pub host: &'a str,
     /// The path with its query.
     pub path: &'a str,
-    /// The body, as much of it as is held.
+    /// The body, as far as it is buffered.
     pub body: &'a [u8],
 }
 
-/// A short hash of a request without what its body holds: where no known request has it, the
-/// digest need not be computed.
+/// A short hash of a request that covers the body's length but not its content. If no known
+/// request has the same shape, the digest needn't be computed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestShape(u64);
 
 impl RequestShape {
-    /// The shape of a request.
+    /// Computes the shape of a request.
     pub fn of(request: &RequestIdentity<'_>) -> Self {
         let mut hasher = Xxh3::new();
         for part in request.head() {
@@ -41,22 +41,22 @@
 }
 
 impl<'a> RequestIdentity<'a> {
-    /// All parts but the body.
+    /// Returns all parts except the body.
     fn head(&self) -> [&'a [u8]; 4] {
         let workspace = self.workspace.map_or("", Workspace::as_str);
         [workspace, self.method, self.host, self.path].map(str::as_bytes)
     }
 }
 
-/// The first 128 bits of the SHA-256 of a [`RequestIdentity`]: what boxes tell each other and
-/// what stands in logs, so that nobody learns a path or a body from it.
+/// The first 128 bits of the SHA-256 of a [`RequestIdentity`]. Messages between boxes and log
+/// lines carry it instead of the request, so that they reveal neither path nor body.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct RequestDigest(u128);
 
 impl RequestDigest {
-    /// The digest of a request. Its parts are hashed with their lengths, so that none can
-    /// pass for another.
+    /// Computes the digest of a request. Each part is hashed with its length, so that different
+    /// parts can't yield the same input.
     pub fn of(request: &RequestIdentity<'_>) -> Self {
         let mut hasher = Sha256::new();
         for part in request.head().into_iter().chain([request.body]) {
@@ -69,7 +69,7 @@
         Self(u128::from_be_bytes(first))
     }
 
-    /// The digest as bytes, for hashes of its own.
+    /// Returns the digest as bytes, as input for other hashes.
     pub fn to_bytes(self) -> [u8; 16] {
         self.0.to_be_bytes()
     }
--- a/crates/routing/src/token_bucket.rs
+++ b/crates/routing/src/token_bucket.rs
@@ -1,10 +1,10 @@
-//! A token bucket: what runs in any span is at most its rate times the span, and what it
-//! holds at the span's begin.
+//! A token bucket: over any time span, at most the rate times the span plus the level at its start
+//! can be taken.
 
 use brasswinch_types::Millis;
 
-/// A token bucket. Its level may fall below 0 by what ran before anybody could refuse it;
-/// that is paid back by what comes in later.
+/// A token bucket. Its level may fall below 0 by requests that ran before they could be refused;
+/// later tokens pay that back.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
     level: f64,
@@ -14,9 +14,9 @@
 /// How a bucket fills.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Filling {
-    /// Tokens a second.
+    /// Tokens per second.
     pub(crate) rate_per_s: f64,
-    /// The most that it holds.
+    /// Maximum number of tokens.
     pub(crate) capacity: f64,
 }
 
@@ -26,7 +26,7 @@
         Self { level, filled_at }
     }
 
-    /// Takes what has come in until now.
+    /// Adds the tokens that accrued until now.
     pub(crate) fn fill(&mut self, filling: Filling, now: Millis) {
         let elapsed_s = now.saturating_sub(self.filled_at) as f64 / 1_000.0;
         self.filled_at = self.filled_at.max(now);
@@ -37,12 +37,12 @@
         self.level
     }
 
-    /// Takes out `tokens`, whatever it holds.
+    /// Takes `tokens`, even if the level falls below 0.
     pub(crate) fn take(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
-    /// Takes one token out, if it holds one.
+    /// Takes one token if the bucket holds one; returns whether it did.
     pub(crate) fn try_take(&mut self) -> bool {
         let has_one = self.level >= 1.0;
         if has_one {
@@ -51,8 +51,8 @@
         has_one
     }
 
-    /// Lowers the level to `most`.
-    pub(crate) fn lower_to(&mut self, most: f64) {
-        self.level = self.level.min(most);
+    /// Lowers the level to `max_level` if it is higher.
+    pub(crate) fn lower_to(&mut self, max_level: f64) {
+        self.level = self.level.min(max_level);
     }
 }
