--- a/crates/routing/src/quota/loan.rs
+++ b/crates/routing/src/quota/loan.rs
@@ -1,115 +1,117 @@
-//! Parts of a quota that boxes lend to its keeper.
+//! Shares of a quota that boxes lend to its coordinator.
 //!
-//! Each of `N` boxes owns `rate / N` of a quota. It lends that to one keeper at a time, for a
-//! lease, or uses it alone: so the parts of all keepers and all boxes that are alone add up to
-//! one at most, however many boxes take themselves for the keeper.
+//! Each of `N` boxes owns `rate / N` of a quota. It either lends that share to one coordinator at
+//! a time, for the duration of a lease, or uses it itself. So the shares of all coordinators and
+//! all isolated boxes add up to one at most, however many boxes consider themselves the
+//! coordinator.
 //!
-//! A lease is counted from the keeper's own clock, which the keeper tells with each word and the
-//! box tells back with the loan. The box counts it from when it had that word, which is later, so
-//! that the keeper's end never comes after the box's. No clocks are compared.
+//! A lease is measured from the coordinator's own clock. The coordinator sends its time with each
+//! reply, and the box returns that time with the loan. The box measures the lease from when it
+//! received the reply, which is later, so that the lease never ends later at the coordinator than
+//! at the box. Clocks of different boxes are never compared.
 
 use brasswinch_types::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a loan holds: keepers ask for it again each 500 ms, and a message takes some 60 ms.
+/// Duration of a loan: coordinators request it again every 500 ms, and a message takes some 60 ms.
 pub(super) const LEASE_MS: Millis = 800;
 
-/// A box's part of a quota, lent to the keeper that is told of it.
+/// A box's share of a quota, lent to the coordinator that receives the message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaLoan {
-    /// The keeper's clock in a word that the box had from it.
+    /// The coordinator's time from a reply that the box received.
     #[serde(rename = "s")]
     pub stamp: Millis,
-    /// Boxes that share the quota, as the lender knows them.
+    /// Number of boxes that share the quota, as known to the lender.
     #[serde(rename = "n")]
     pub boxes: u32,
 }
 
-/// The newest word that a box had from its keeper.
+/// The latest reply of the coordinator.
 #[derive(Clone, Copy, Debug)]
-struct HeardKeeper {
+struct LastReply {
     address: SocketAddr,
     stamp: Millis,
-    heard_at: Millis,
+    received_at: Millis,
 }
 
-/// To whom a box lends its part of one quota.
+/// A box's loan of its share of one quota.
 #[derive(Debug, Default)]
 pub(super) struct Lending {
-    heard: Option<HeardKeeper>,
+    last_reply: Option<LastReply>,
     lent_to: Option<SocketAddr>,
     lent_until: Millis,
 }
 
 impl Lending {
-    /// Takes the clock of a keeper's word.
-    pub(super) fn hear(&mut self, address: SocketAddr, stamp: Millis, now: Millis) {
-        self.heard = Some(HeardKeeper {
+    /// Records the time of a coordinator's reply.
+    pub(super) fn record_reply(&mut self, address: SocketAddr, stamp: Millis, now: Millis) {
+        self.last_reply = Some(LastReply {
             address,
             stamp,
-            heard_at: now,
+            received_at: now,
         });
     }
 
-    /// The loan that goes with a message to a keeper; `None` where the part is lent to another, or
-    /// the keeper was not heard of lately.
+    /// Returns the loan to attach to a message to the coordinator at `to`; `None` where the share
+    /// is lent to another one, or no recent reply came from `to`.
     pub(super) fn lend(&mut self, to: SocketAddr, boxes: usize, now: Millis) -> Option<QuotaLoan> {
-        let heard = self.heard.filter(|heard| heard.address == to)?;
-        let ends_at = heard.heard_at + LEASE_MS;
-        let is_elsewhere = self.is_lent(now) && self.lent_to != Some(to);
-        if now >= ends_at || is_elsewhere {
+        let last_reply = self.last_reply.filter(|last_reply| last_reply.address == to)?;
+        let expires_at = last_reply.received_at + LEASE_MS;
+        let is_lent_elsewhere = self.is_lent(now) && self.lent_to != Some(to);
+        if now >= expires_at || is_lent_elsewhere {
             return None;
         }
         self.lent_to = Some(to);
-        self.lent_until = self.lent_until.max(ends_at);
+        self.lent_until = self.lent_until.max(expires_at);
         Some(QuotaLoan {
-            stamp: heard.stamp,
+            stamp: last_reply.stamp,
             boxes: u32::try_from(boxes).unwrap_or(u32::MAX),
         })
     }
 
-    /// Whether a keeper may be using the part.
+    /// Whether a coordinator may be using the share.
     pub(super) fn is_lent(&self, now: Millis) -> bool {
         now < self.lent_until
     }
 
-    /// When it is the box's own again.
+    /// Returns when the loan expires.
     pub(super) fn lent_until(&self) -> Millis {
         self.lent_until
     }
 }
 
-/// A part that a keeper holds.
+/// A loan that a coordinator received.
 #[derive(Clone, Copy, Debug)]
-struct HeldPart {
-    until: Millis,
-    part: f64,
+struct ReceivedLoan {
+    expires_at: Millis,
+    fraction: f64,
 }
 
-/// The parts of one quota that its keeper holds, by their lenders' addresses.
+/// The loans of one quota, by the lenders' addresses.
 #[derive(Debug, Default)]
-pub(super) struct HeldParts {
-    parts: HashMap<SocketAddr, HeldPart>,
+pub(super) struct ReceivedLoans {
+    loans: HashMap<SocketAddr, ReceivedLoan>,
 }
 
-impl HeldParts {
-    /// Takes a loan. One that is over, that names no box, or whose stamp this keeper has not given
-    /// yet is none.
-    pub(super) fn take(&mut self, from: SocketAddr, loan: QuotaLoan, now: Millis) {
-        let until = loan.stamp.saturating_add(LEASE_MS);
-        if loan.stamp > now || until <= now || loan.boxes == 0 {
+impl ReceivedLoans {
+    /// Adds a loan. Ignores a loan that has expired, that claims no boxes, or whose time lies in
+    /// the future.
+    pub(super) fn add(&mut self, from: SocketAddr, loan: QuotaLoan, now: Millis) {
+        let expires_at = loan.stamp.saturating_add(LEASE_MS);
+        if loan.stamp > now || expires_at <= now || loan.boxes == 0 {
             return;
         }
-        let part = 1.0 / f64::from(loan.boxes);
-        self.parts.insert(from, HeldPart { until, part });
+        let fraction = 1.0 / f64::from(loan.boxes);
+        self.loans.insert(from, ReceivedLoan { expires_at, fraction });
     }
 
-    /// Part of the quota that is lent until now.
-    pub(super) fn sum(&mut self, now: Millis) -> f64 {
-        self.parts.retain(|_, held| now < held.until);
-        let sum: f64 = self.parts.values().map(|held| held.part).sum();
-        sum.min(1.0)
+    /// Returns the fraction of the quota that is on loan now.
+    pub(super) fn total(&mut self, now: Millis) -> f64 {
+        self.loans.retain(|_, loan| now < loan.expires_at);
+        let total: f64 = self.loans.values().map(|loan| loan.fraction).sum();
+        total.min(1.0)
     }
 }
--- a/crates/routing/src/quota/message.rs
+++ b/crates/routing/src/quota/message.rs
@@ -1,63 +1,64 @@
-//! What boxes and keepers of quotas say to each other.
+//! Messages between boxes and the coordinators of quotas.
 
 use super::loan::QuotaLoan;
 use brasswinch_types::{Millis, Workspace};
 use serde::{Deserialize, Serialize};
 
-/// Tells a workspace's keeper of a request, before or as it is sent.
+/// Reports a request to the workspace's coordinator, before or as it is sent.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaCount {
-    /// Names the request in the answer; drawn by the box.
+    /// Random id of the request, repeated in the reply; 0 where no reply is needed.
     #[serde(rename = "q")]
     pub id: u64,
     /// The workspace.
     #[serde(rename = "w")]
     pub workspace: Workspace,
-    /// Requests: 1, or -1 where one that was counted did not run.
+    /// Number of requests: 1, -1 where a counted request did not run, or 0 where only a loan is
+    /// sent.
     #[serde(rename = "n")]
     pub runs: i32,
-    /// Whether the request waits for leave.
+    /// Whether the request waits for a grant.
     #[serde(rename = "a")]
-    pub asks: bool,
-    /// Requests that the box refused without asking since it last told.
+    pub needs_grant: bool,
+    /// Requests that the box refused without asking since its last message.
     #[serde(rename = "t")]
-    pub turned_away: u32,
-    /// The box's part, where it lends it to this keeper.
+    pub refused_locally: u32,
+    /// The box's share, where it is lent to this coordinator.
     #[serde(rename = "l", default)]
     pub loan: Option<QuotaLoan>,
 }
 
-/// A keeper's word.
+/// A coordinator's reply or broadcast.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaWord {
-    /// The request's; 0 where it answers none.
+    /// The request's id; 0 in a broadcast and where the count had none.
     #[serde(rename = "q")]
     pub id: u64,
     /// The workspace.
     #[serde(rename = "w")]
     pub workspace: Workspace,
-    /// Whether a request that asked may be sent.
+    /// Whether a request that waits for a grant may be sent.
     #[serde(rename = "g")]
     pub is_granted: bool,
-    /// Whether boxes have to ask before they send.
+    /// Whether the workspace is near its limit, so that boxes need a grant before they send.
     #[serde(rename = "t")]
-    pub is_tight: bool,
-    /// When there is room for a request that was refused, in milliseconds.
+    pub is_near_limit: bool,
+    /// Time after which a refused client may retry, in milliseconds.
     #[serde(rename = "r")]
     pub retry_after_ms: Millis,
-    /// The keeper's clock, for loans.
+    /// The coordinator's time, for loans.
     #[serde(rename = "s", default)]
     pub stamp: Millis,
 }
 
 impl QuotaWord {
-    /// Tells boxes that they have to ask before they send.
-    pub(super) fn tight(workspace: &Workspace, now: Millis) -> Self {
+    /// Creates the broadcast that the workspace is near its limit.
+    pub(super) fn near_limit(workspace: &Workspace, now: Millis) -> Self {
         Self {
             id: 0,
             workspace: workspace.clone(),
             is_granted: false,
-            is_tight: true,
+            is_near_limit: true,
             retry_after_ms: 0,
             stamp: now,
         }
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -1,32 +1,35 @@
-//! Keeps each workspace's quota over all boxes together.
+//! Enforces each workspace's quota across all boxes.
 //!
-//! One box counts a workspace's requests, its keeper, chosen by rendezvous among the boxes
-//! that serve. A box asks the present keeper until that says that it need not. From then on it
-//! tells the keeper of each request as it sends it, and nothing waits: far under its limit a
-//! workspace costs a message each way and no time. Before the keeper's bucket runs empty it tells
-//! all boxes that the workspace is tight. They ask before they send again, and what the bucket
-//! does not hold is refused at once. A box that hears nothing from the keeper admits a part by
-//! itself.
+//! One box, the workspace's coordinator, counts its requests. It is chosen by rendezvous hashing
+//! among the serving boxes. A box first asks the coordinator for a grant before each request,
+//! until the coordinator replies that the workspace is below its limit. From then on the box sends
+//! requests without a grant and reports each one as it sends it, so that a workspace far below its
+//! limit costs a message each way and no latency. Before the coordinator's bucket runs empty, it
+//! broadcasts that the workspace is near its limit. Boxes then need a grant for each request
+//! again, and the coordinator refuses at once what the bucket doesn't hold. A box that gets no
+//! reply from the coordinator admits a fraction of its own share.
 //!
-//! Boxes lend the keeper their parts of a quota ([`loan`]); those of all keepers and of all boxes
-//! that are alone add up to one at most. While a workspace is tight its bucket fills by what is
-//! lent. What runs in any span `W` over all boxes is then at most
+//! Boxes lend the coordinator their shares of a quota ([`loan`]). The shares that all coordinators
+//! and all isolated boxes use add up to one at most. While a workspace is near its limit, the
+//! coordinator's bucket fills at the rate of the loans. In any time span `W`, the requests sent by
+//! all boxes are then at most
 //!
 //! ```text
-//! rate * W                                all parts, whoever holds them
-//!   + BURST_PART * burst                  each bucket that was full before its workspace was tight
-//!   + START_PART * overage                a keeper that changed begins with that
-//!   + ALONE_BURST * N                     each box that is alone, or starts
-//!   + MOST_UNANSWERED * N                 requests sent before boxes heard that it is tight
+//! rate * W                                all shares, whoever holds them
+//!   + BURST_FRACTION * burst              each bucket that was full when the limit was neared
+//!   + INITIAL_FRACTION * overage          initial level of a new coordinator's bucket
+//!   + LOCAL_BURST * N                     each box that is isolated or starts
+//!   + MAX_PENDING_COUNTS * N              requests sent before boxes received the broadcast
 //! ```
 //!
-//! with `overage = (rate * W + burst) * more + slack` as the bound allows. Quotas so small that the
-//! slack bears two whole keepers need no loans: boxes send too seldom to lend.
+//! with `overage = (rate * W + burst) * more + slack` as the bound allows. Quotas so small that
+//! the slack covers two coordinators with the whole quota each need no loans: boxes send too
+//! seldom to lend.
 
-mod keeper;
+mod coordinator;
 mod loan;
 mod message;
-mod part;
+mod local;
 mod status;
 
 use crate::fleet_size::KnownSize;
@@ -34,191 +37,193 @@
 use crate::rendezvous::{object_hash, weighted_score};
 use crate::workspace::QuotaLimit;
 use brasswinch_types::{BoxId, Millis, Workspace};
-use keeper::QuotaKeeper;
+use coordinator::QuotaCoordinator;
 use loan::LEASE_MS;
 pub use loan::QuotaLoan;
 pub use message::{QuotaCount, QuotaWord};
-use part::QuotaPart;
+use local::LocalQuota;
 pub use status::QuotaStatus;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// How long no further box was heard of, after which a box that has started knows all: they
-/// tell each other everybody at once, and a lost message is sent again within 300 ms.
-const SETTLED_MS: Millis = 500;
+/// Time without a newly discovered box after which a box that has started knows all boxes: they
+/// exchange their member lists at once, and a lost message is sent again within 300 ms.
+const SETTLE_MS: Millis = 500;
 
-/// What quotas may be passed by, as operators bound it.
+/// How far requests may exceed a quota, as set by operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaBounds {
-    /// The span in which requests are counted, in seconds.
+    /// Length of the window in which requests are counted, in seconds.
     pub window_s: f64,
-    /// Part of a window's requests that may run beyond them.
+    /// Fraction of the window's allowed requests by which they may be exceeded.
     pub overage: f64,
-    /// Requests in a window that may run whatever the limit.
+    /// Requests by which any quota may be exceeded in a window, in addition to the fraction.
     pub slack: f64,
 }
 
 impl QuotaBounds {
-    /// Requests beyond `limit` that may run in a window.
+    /// Returns how many requests beyond `limit` may run in a window.
     pub fn overage(&self, limit: QuotaLimit) -> f64 {
         self.in_window(limit) * self.overage + self.slack
     }
 
-    /// Requests under `limit` that may run in a window.
+    /// Returns how many requests `limit` allows in a window.
     fn in_window(&self, limit: QuotaLimit) -> f64 {
         limit.rate_per_s * self.window_s + limit.burst
     }
 
-    /// Whether two boxes that both keep the whole quota would pass what is allowed.
+    /// Whether two boxes that each grant the whole quota would exceed what is allowed.
     fn needs_loans(&self, limit: QuotaLimit) -> bool {
         self.in_window(limit) > self.overage(limit)
     }
 }
 
-/// A box that serves, as quotas see it.
+/// A serving box, as seen by quotas.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuotaBox {
     /// The box.
     pub id: BoxId,
-    /// Where other boxes reach it.
+    /// Address for messages of other boxes.
     pub address: SocketAddr,
 }
 
-/// A message to a workspace's keeper.
+/// A message to a workspace's coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ToKeeper {
-    /// Where the keeper is.
+    /// The coordinator's address.
     pub address: SocketAddr,
     /// The message.
     pub count: QuotaCount,
 }
 
-/// Whether a request may be sent.
+/// The decision about a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    /// It may. The keeper is told, unless it is this box.
+    /// The request may be sent. The message goes to the coordinator, unless that is this box.
     Send(Option<ToKeeper>),
-    /// The keeper has to be asked first.
+    /// The coordinator must grant the request first.
     Ask(ToKeeper),
-    /// It may not.
+    /// The request must not be sent.
     Refuse {
-        /// When there may be room again, in milliseconds.
+        /// Time until a request may be admitted again, in milliseconds.
         retry_after_ms: Millis,
     },
 }
 
-/// All quotas as one box takes part in them.
+/// One box's state of all quotas.
 #[derive(Debug)]
 pub struct Quotas {
     me: BoxId,
     boxes: Vec<(QuotaBox, u64)>,
-    /// The most boxes that were ever heard together, this one included.
-    heard: usize,
-    /// How many there are, whether they are heard or not.
+    /// Most boxes ever known at once, this one included.
+    max_known_boxes: usize,
+    /// Size of the fleet, including boxes that this one doesn't know.
     fleet_size: KnownSize,
-    /// When this box last learned, after its start, that there are more boxes.
+    /// When the number of known boxes last grew.
     grew_at: Option<Millis>,
     is_settled: bool,
     bounds: QuotaBounds,
-    /// What its former life lent has lapsed then.
-    lends_from: Option<Millis>,
-    /// Keepers that were looked for since the boxes last changed.
-    keepers: HashMap<Workspace, Option<QuotaBox>>,
-    parts: HashMap<Workspace, QuotaPart>,
-    kept: QuotaKeeper,
+    /// When this box may lend. By then, loans from before its restart have expired.
+    may_lend_from: Option<Millis>,
+    /// Cache of coordinators; cleared when the boxes change.
+    coordinators: HashMap<Workspace, Option<QuotaBox>>,
+    local_quotas: HashMap<Workspace, LocalQuota>,
+    coordinated: QuotaCoordinator,
 }
 
 impl Quotas {
-    /// Takes part as `me`.
+    /// Creates the state of the box `me`.
     pub fn new(me: BoxId, bounds: QuotaBounds) -> Self {
         Self {
             me,
             boxes: Vec::new(),
-            heard: 0,
+            max_known_boxes: 0,
             fleet_size: KnownSize::default(),
             grew_at: None,
             is_settled: false,
             bounds,
-            lends_from: None,
-            keepers: HashMap::new(),
-            parts: HashMap::new(),
-            kept: QuotaKeeper::new(bounds),
+            may_lend_from: None,
+            coordinators: HashMap::new(),
+            local_quotas: HashMap::new(),
+            coordinated: QuotaCoordinator::new(bounds),
         }
     }
 
-    /// Takes how many boxes the fleet has, this one included.
+    /// Sets the fleet's size, this box included.
     pub fn set_fleet_size(&mut self, fleet_size: KnownSize) {
         self.fleet_size = fleet_size;
     }
 
-    /// Boxes that share each quota, 1 at least.
+    /// Returns the number of boxes that share each quota, at least 1.
     fn sharing_boxes(&self) -> usize {
         let boxes = match self.fleet_size {
             KnownSize::Told(boxes) => boxes,
-            KnownSize::Heard | KnownSize::Awaited => self.heard,
+            KnownSize::Heard | KnownSize::Awaited => self.max_known_boxes,
         };
         boxes.max(1)
     }
 
-    /// Takes the boxes that serve, this one included if it does, and how many are heard,
-    /// whether they serve yet or not.
-    pub fn set_boxes(&mut self, boxes: Vec<QuotaBox>, heard: usize, now: Millis) {
-        self.lends_from.get_or_insert(now + LEASE_MS);
-        let heard = heard.max(boxes.len());
-        if heard > self.heard {
+    /// Sets the serving boxes, including this one if it serves, and the number of known boxes,
+    /// serving or not.
+    pub fn set_boxes(&mut self, boxes: Vec<QuotaBox>, known_boxes: usize, now: Millis) {
+        self.may_lend_from.get_or_insert(now + LEASE_MS);
+        let known_boxes = known_boxes.max(boxes.len());
+        if known_boxes > self.max_known_boxes {
             self.grew_at = Some(now);
         }
-        self.heard = self.heard.max(heard);
-        let share = boxes.len() as f64 / self.sharing_boxes() as f64;
-        self.kept.set_share(share);
-        if self.boxes.iter().map(|(held, _)| held).eq(&boxes) {
+        self.max_known_boxes = self.max_known_boxes.max(known_boxes);
+        let reachable_fraction = boxes.len() as f64 / self.sharing_boxes() as f64;
+        self.coordinated.set_reachable_fraction(reachable_fraction);
+        if self.boxes.iter().map(|(quota_box, _)| quota_box).eq(&boxes) {
             return;
         }
-        let hashed = |held: QuotaBox| {
-            let hash = object_hash("quota", held.id.as_str().as_bytes());
-            (held, hash)
+        let hashed = |quota_box: QuotaBox| {
+            let hash = object_hash("quota", quota_box.id.as_str().as_bytes());
+            (quota_box, hash)
         };
         self.boxes = boxes.into_iter().map(hashed).collect();
-        self.keepers.clear();
-        let kept: Vec<Workspace> = self.kept.workspaces().cloned().collect();
-        for workspace in kept {
-            let is_mine = self.is_mine(&workspace);
-            self.kept.set_mine(&workspace, is_mine);
+        self.coordinators.clear();
+        let coordinated: Vec<Workspace> = self.coordinated.workspaces().cloned().collect();
+        for workspace in coordinated {
+            let is_coordinator = self.is_coordinator(&workspace);
+            self.coordinated.set_is_coordinator(&workspace, is_coordinator);
         }
     }
 
-    /// Whether this box knows which boxes there are. After its start it hears of them one by
-    /// one, and would count by itself what all of them count. One that hears nobody may be cut off.
+    /// Whether this box knows the fleet. After its start it discovers the other boxes one by one,
+    /// and would itself grant requests that all boxes together grant. A box that knows no other
+    /// may be cut off.
     pub fn is_settled(&mut self, now: Millis) -> bool {
         let knows_size = match self.fleet_size {
             KnownSize::Told(_) => true,
             KnownSize::Awaited => false,
-            KnownSize::Heard => self.heard > 1,
+            KnownSize::Heard => self.max_known_boxes > 1,
         };
-        let settled_at = self.grew_at.map(|grew_at| grew_at + SETTLED_MS);
-        let has_met = settled_at.is_some_and(|settled_at| now >= settled_at);
-        self.is_settled |= knows_size && has_met;
+        let settled_at = self.grew_at.map(|grew_at| grew_at + SETTLE_MS);
+        let is_quiet = settled_at.is_some_and(|settled_at| now >= settled_at);
+        self.is_settled |= knows_size && is_quiet;
         self.is_settled
     }
 
-    /// The box that counts for `workspace`; `None` while no box is known to serve.
-    pub fn keeper(&mut self, workspace: &Workspace) -> Option<&QuotaBox> {
+    /// Returns the coordinator of `workspace`; `None` while no serving box is known.
+    pub fn coordinator(&mut self, workspace: &Workspace) -> Option<&QuotaBox> {
         let boxes = &self.boxes;
-        let keeper = self.keepers.entry(workspace.clone()).or_insert_with(|| {
+        let coordinator = self.coordinators.entry(workspace.clone()).or_insert_with(|| {
             let object = object_hash("workspace", workspace.as_str().as_bytes());
             let score = |(_, hash): &&(QuotaBox, u64)| weighted_score(object, *hash, 1.0);
-            let first = boxes.iter().max_by(|a, b| score(a).total_cmp(&score(b)))?;
-            Some(first.0.clone())
+            let highest = boxes.iter().max_by(|a, b| score(a).total_cmp(&score(b)))?;
+            Some(highest.0.clone())
         });
-        keeper.as_ref()
+        coordinator.as_ref()
     }
 
-    fn is_mine(&mut self, workspace: &Workspace) -> bool {
+    fn is_coordinator(&mut self, workspace: &Workspace) -> bool {
         let me = self.me.clone();
-        self.keeper(workspace).is_some_and(|keeper| keeper.id == me)
+        self.coordinator(workspace).is_some_and(|coordinator| coordinator.id == me)
     }
 
-    /// Whether a request of `workspace` may be sent. `id` names it; `random` is from 0 to 1.
+    /// Decides whether a request of `workspace` may be sent. `id` identifies the request; `random`
+    /// is from 0 to 1.
     pub fn admit(
         &mut self,
         workspace: &Workspace,
@@ -229,50 +234,52 @@
     ) -> Admission {
         let even_rate = limit.rate_per_s / self.sharing_boxes() as f64;
         let is_settled = self.is_settled(now);
-        let keeper = self.keeper(workspace).cloned();
-        let part = self.parts.entry(workspace.clone()).or_default();
-        part.set_keeper(keeper.as_ref().map(|keeper| keeper.address));
-        if let Some(retry_after_ms) = part.closed_for(random, now) {
+        let coordinator = self.coordinator(workspace).cloned();
+        let local = self.local_quotas.entry(workspace.clone()).or_default();
+        local.set_coordinator(coordinator.as_ref().map(|coordinator| coordinator.address));
+        if let Some(retry_after_ms) = local.refuse_locally(random, now) {
             return Admission::Refuse { retry_after_ms };
         }
-        // How many others do the same isn't known at first: there is no rate to go by.
+        // The number of boxes that admit requests on their own is unknown at first, so there is no
+        // rate to apply.
         let even_rate = if is_settled { even_rate } else { 0.0 };
-        let Some(keeper) = keeper else {
-            return part.unheard(even_rate, now);
+        let Some(coordinator) = coordinator else {
+            return local.admit_without_reply(even_rate, now);
         };
-        if keeper.id == self.me && !is_settled {
-            return part.unheard(even_rate, now);
+        if coordinator.id == self.me && !is_settled {
+            return local.admit_without_reply(even_rate, now);
         }
-        if keeper.id == self.me {
-            return self.admit_kept(workspace, keeper.address, limit, random, now);
+        if coordinator.id == self.me {
+            return self.admit_as_coordinator(workspace, coordinator.address, limit, random, now);
         }
-        let loan = self.lend(workspace, keeper.address, limit, now);
-        let part = self.parts.entry(workspace.clone()).or_default();
-        let to_keeper = ToKeeper {
-            address: keeper.address,
+        let loan = self.lend(workspace, coordinator.address, limit, now);
+        let local = self.local_quotas.entry(workspace.clone()).or_default();
+        let outgoing = ToKeeper {
+            address: coordinator.address,
             count: QuotaCount {
                 id,
                 workspace: workspace.clone(),
                 runs: 1,
-                // Free sending for 150 ms after each change of the keeper was 300 to 450 of
-                // 2,409 runs in a window where half of 75 boxes are cut off.
-                asks: part.has_to_ask(now) || !is_settled,
-                turned_away: part.take_turned_away(),
+                // When half of 75 boxes were cut off, sending without a grant for 150 ms after
+                // each change of coordinator made up 300 to 450 of the 2,409 requests allowed in a
+                // window.
+                needs_grant: local.must_ask(now) || !is_settled,
+                refused_locally: local.take_refused_locally(),
                 loan,
             },
         };
-        if part.is_alone(now) {
-            return part.alone(even_rate, Some(to_keeper), now);
+        if local.is_coordinator_unreachable(now) {
+            return local.admit_unreachable(even_rate, Some(outgoing), now);
         }
-        part.told(now);
-        if to_keeper.count.asks {
-            return Admission::Ask(to_keeper);
+        local.expect_reply(now);
+        if outgoing.count.needs_grant {
+            return Admission::Ask(outgoing);
         }
-        part.sent();
-        Admission::Send(Some(to_keeper))
+        local.count_sent();
+        Admission::Send(Some(outgoing))
     }
 
-    /// This box's part of a quota, lent to the keeper at `to` where it may be.
+    /// Lends this box's share of a quota to the coordinator at `to`, where that is allowed.
     fn lend(
         &mut self,
         workspace: &Workspace,
@@ -280,16 +287,16 @@
         limit: QuotaLimit,
         now: Millis,
     ) -> Option<QuotaLoan> {
-        let may_lend = self.lends_from.is_some_and(|from| now >= from);
+        let may_lend = self.may_lend_from.is_some_and(|from| now >= from);
         if !may_lend || !self.is_settled(now) || !self.bounds.needs_loans(limit) {
             return None;
         }
         let sharing_boxes = self.sharing_boxes();
-        self.parts.get_mut(workspace)?.lend(to, sharing_boxes, now)
+        self.local_quotas.get_mut(workspace)?.lend(to, sharing_boxes, now)
     }
 
-    /// Admits where this box, at `address`, is the keeper.
-    fn admit_kept(
+    /// Admits a request where this box, at `address`, is the coordinator.
+    fn admit_as_coordinator(
         &mut self,
         workspace: &Workspace,
         address: SocketAddr,
@@ -301,86 +308,87 @@
             id: 0,
             workspace: workspace.clone(),
             runs: 1,
-            asks: true,
-            turned_away: 0,
+            needs_grant: true,
+            refused_locally: 0,
             loan: self.lend(workspace, address, limit, now),
         };
-        let word = self.kept.count(&count, address, limit, now);
-        let part = self.parts.entry(workspace.clone()).or_default();
-        part.hear(&word, address, now);
-        if word.is_granted {
-            part.sent();
+        let reply = self.coordinated.handle_count(&count, address, limit, now);
+        let local = self.local_quotas.entry(workspace.clone()).or_default();
+        local.handle_reply(&reply, address, now);
+        if reply.is_granted {
+            local.count_sent();
             return Admission::Send(None);
         }
-        part.refused();
+        local.count_refused();
         Admission::Refuse {
-            retry_after_ms: spread(word.retry_after_ms, random),
+            retry_after_ms: spread(reply.retry_after_ms, random),
         }
     }
 
-    /// Takes the answer of the keeper at `from` to a question. Says whether the request may be
-    /// sent, and if not, when to come back, in milliseconds.
+    /// Handles the reply of the coordinator at `from` to a request that waits for a grant. Returns
+    /// whether the request may be sent, or when the client should retry.
     pub fn answered(
         &mut self,
-        word: &QuotaWord,
+        reply: &QuotaWord,
         from: SocketAddr,
         random: f64,
         now: Millis,
     ) -> Admission {
-        let part = self.parts.entry(word.workspace.clone()).or_default();
-        part.hear(word, from, now);
-        if word.is_granted {
-            part.sent();
+        let local = self.local_quotas.entry(reply.workspace.clone()).or_default();
+        local.handle_reply(reply, from, now);
+        if reply.is_granted {
+            local.count_sent();
             return Admission::Send(None);
         }
-        part.close(random, now);
-        part.refused();
+        local.start_local_refusal(random, now);
+        local.count_refused();
         Admission::Refuse {
-            retry_after_ms: spread(word.retry_after_ms, random),
+            retry_after_ms: spread(reply.retry_after_ms, random),
         }
     }
 
-    /// A question got no answer in time. It is asked once more where the keeper may be using this
-    /// box's part; else the box goes by that.
+    /// Handles a missing reply. Returns the message for one more attempt where a coordinator may
+    /// be using this box's share; otherwise decides by this box's own share.
     pub fn unanswered(
         &mut self,
-        question: ToKeeper,
+        message: ToKeeper,
         limit: QuotaLimit,
         is_last: bool,
         now: Millis,
     ) -> Admission {
         let even_rate = limit.rate_per_s / self.sharing_boxes() as f64;
-        let workspace = question.count.workspace.clone();
-        let part = self.parts.entry(workspace).or_default();
-        if part.is_lent(now) && !is_last {
-            return Admission::Ask(question);
+        let workspace = message.count.workspace.clone();
+        let local = self.local_quotas.entry(workspace).or_default();
+        if local.is_lent(now) && !is_last {
+            return Admission::Ask(message);
         }
-        part.unheard(even_rate, now)
+        local.admit_without_reply(even_rate, now)
     }
 
-    /// Takes a word of the box at `from` that nobody waits for. Gives the loan that it asks for: one
-    /// that tells all boxes that a workspace is tight wants their parts.
+    /// Handles a reply or broadcast of the box at `from` that no request waits for. Returns the
+    /// loan that a broadcast asks for: a coordinator whose workspace is near its limit needs the
+    /// boxes' shares.
     pub fn hear_word(
         &mut self,
-        word: &QuotaWord,
+        reply: &QuotaWord,
         from: SocketAddr,
         limit: QuotaLimit,
         now: Millis,
     ) -> Option<ToKeeper> {
-        let keeper = self.keeper(&word.workspace)?.address;
-        let part = self.parts.entry(word.workspace.clone()).or_default();
-        part.set_keeper(Some(keeper));
-        part.hear(word, from, now);
-        if word.id != 0 || keeper != from {
+        let coordinator = self.coordinator(&reply.workspace)?.address;
+        let local = self.local_quotas.entry(reply.workspace.clone()).or_default();
+        local.set_coordinator(Some(coordinator));
+        local.handle_reply(reply, from, now);
+        if reply.id != 0 || coordinator != from {
             return None;
         }
-        let loan = self.lend(&word.workspace, from, limit, now)?;
+        let loan = self.lend(&reply.workspace, from, limit, now)?;
         let count = QuotaCount {
             id: 0,
-            workspace: word.workspace.clone(),
+            workspace: reply.workspace.clone(),
             runs: 0,
-            asks: false,
-            turned_away: 0,
+            needs_grant: false,
+            refused_locally: 0,
             loan: Some(loan),
         };
         Some(ToKeeper {
@@ -389,8 +397,8 @@
         })
     }
 
-    /// Counts what the box at `from` sends, or asks to send; `None` where this box doesn't know yet
-    /// whether it is the keeper.
+    /// Counts a request that the box at `from` has sent or asks to send. Returns `None` while this
+    /// box doesn't know whether it is the coordinator.
     pub fn hear_count(
         &mut self,
         count: &QuotaCount,
@@ -399,11 +407,11 @@
         now: Millis,
     ) -> Option<QuotaWord> {
         let is_settled = self.is_settled(now);
-        is_settled.then(|| self.kept.count(count, from, limit, now))
+        is_settled.then(|| self.coordinated.handle_count(count, from, limit, now))
     }
 
-    /// A request of `workspace` ran once more (`runs` 1), or did not run (`runs` -1). Returns
-    /// what its keeper has to be told.
+    /// Corrects the count of a request of `workspace` that ran once more (`runs` 1) or did not run
+    /// (`runs` -1). Returns the message to the coordinator.
     pub fn correct(
         &mut self,
         workspace: &Workspace,
@@ -415,54 +423,54 @@
             id: 0,
             workspace: workspace.clone(),
             runs,
-            asks: false,
-            turned_away: 0,
+            needs_grant: false,
+            refused_locally: 0,
             loan: None,
         };
         let me = self.me.clone();
-        let keeper = self.keeper(workspace)?;
-        let address = keeper.address;
-        if keeper.id == me {
-            self.kept.count(&count, address, limit, now);
+        let coordinator = self.coordinator(workspace)?;
+        let address = coordinator.address;
+        if coordinator.id == me {
+            self.coordinated.handle_count(&count, address, limit, now);
             return None;
         }
         Some(ToKeeper { address, count })
     }
 
-    /// Looks at what time has changed; to be called every few tens of milliseconds.
+    /// Repeats due broadcasts; to be called every few tens of milliseconds.
     pub fn tick(&mut self, now: Millis) {
-        self.kept.tick(now);
+        self.coordinated.tick(now);
     }
 
-    /// Words that all other boxes have to be told now.
+    /// Takes the messages to broadcast to all other boxes.
     pub fn take_words_for_all(&mut self) -> Vec<QuotaWord> {
-        self.kept.take_words_for_all()
+        self.coordinated.take_words_for_all()
     }
 
-    /// The other boxes.
+    /// Returns the addresses of the other boxes.
     pub fn others(&self) -> impl Iterator<Item = SocketAddr> {
-        let others = self.boxes.iter().filter(|(held, _)| held.id != self.me);
-        others.map(|(held, _)| held.address)
+        let others = self.boxes.iter().filter(|(quota_box, _)| quota_box.id != self.me);
+        others.map(|(quota_box, _)| quota_box.address)
     }
 
-    /// Forgets workspaces that are no longer configured with a limit.
+    /// Removes workspaces that no longer have a quota.
     pub fn retain(&mut self, is_limited: impl Fn(&Workspace) -> bool) {
-        self.parts.retain(|workspace, _| is_limited(workspace));
-        self.keepers.retain(|workspace, _| is_limited(workspace));
-        self.kept.retain(is_limited);
+        self.local_quotas.retain(|workspace, _| is_limited(workspace));
+        self.coordinators.retain(|workspace, _| is_limited(workspace));
+        self.coordinated.retain(is_limited);
     }
 
-    /// What operators see, by workspace.
+    /// Returns the status of each quota, ordered by workspace.
     pub fn status(&self, now: Millis) -> Vec<QuotaStatus> {
-        let parts: BTreeMap<&Workspace, &QuotaPart> = self.parts.iter().collect();
-        let status = |(workspace, part): (&Workspace, &QuotaPart)| QuotaStatus {
+        let local_quotas: BTreeMap<&Workspace, &LocalQuota> = self.local_quotas.iter().collect();
+        let status = |(workspace, local): (&Workspace, &LocalQuota)| QuotaStatus {
             workspace: workspace.clone(),
-            sent: part.sent_total(),
-            refused: part.refused_total(),
-            is_tight: part.is_tight(),
-            is_alone: part.is_alone(now),
-            level: self.kept.level(workspace),
+            sent: local.sent_total(),
+            refused: local.refused_total(),
+            is_near_limit: local.is_near_limit(),
+            is_coordinator_unreachable: local.is_coordinator_unreachable(now),
+            level: self.coordinated.level(workspace),
         };
-        parts.into_iter().map(status).collect()
+        local_quotas.into_iter().map(status).collect()
     }
 }
--- a/crates/routing/src/quota/status.rs
+++ b/crates/routing/src/quota/status.rs
@@ -1,23 +1,25 @@
-//! What operators see of a workspace's quota at one box.
+//! The status of quotas, for operators.
 
 use brasswinch_types::Workspace;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A workspace's quota as one box sees it.
+/// The status of a workspace's quota at one box.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaStatus {
     /// The workspace.
     pub workspace: Workspace,
-    /// Requests that this box let through since it started.
+    /// Requests admitted by this box since it started.
     pub sent: u64,
-    /// Requests that this box refused for the quota since it started.
+    /// Requests refused by this box for the quota since it started.
     pub refused: u64,
-    /// Whether its keeper said that it has to be asked first.
-    pub is_tight: bool,
-    /// Whether the keeper does not answer, and the box admits a part by itself.
-    pub is_alone: bool,
-    /// Requests that may run at once now, where this box is the keeper.
+    /// Whether requests need a grant of the coordinator.
+    #[serde(rename = "is_tight")]
+    pub is_near_limit: bool,
+    /// Whether the coordinator doesn't reply, so that the box admits a fraction of its share.
+    #[serde(rename = "is_alone")]
+    pub is_coordinator_unreachable: bool,
+    /// Tokens in the bucket, where this box is the coordinator.
     pub level: Option<f64>,
 }
 
@@ -30,14 +32,14 @@
             ..
         } = self;
         write!(f, "{workspace}: {sent} sent, {refused} refused")?;
-        if self.is_tight {
-            f.write_str(", tight")?;
+        if self.is_near_limit {
+            f.write_str(", near its limit")?;
         }
-        if self.is_alone {
-            f.write_str(", its keeper is out of reach")?;
+        if self.is_coordinator_unreachable {
+            f.write_str(", coordinator unreachable")?;
         }
         match self.level {
-            Some(level) => write!(f, ", kept here: room for {level:.1}"),
+            Some(level) => write!(f, ", coordinated here: {level:.1} requests available"),
             None => Ok(()),
         }
     }
--- a/crates/routing/tests/quota_loans.rs
+++ b/crates/routing/tests/quota_loans.rs
@@ -1,4 +1,4 @@
-//! Boxes lend their part of a quota to one keeper at a time.
+//! Boxes lend their share of a quota to one coordinator at a time.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
@@ -19,8 +19,8 @@
     burst: 100.0,
 };
 
-/// When all boxes know each other, and what they lent in a former life is over.
-const KNOWN: u64 = 5_000;
+/// Time by which all boxes know each other, and loans from before a restart have expired.
+const SETTLED_AT_MS: u64 = 5_000;
 
 fn address(index: u16) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], 1_000 + index))
@@ -37,14 +37,14 @@
     Workspace::new("alpha")
 }
 
-/// One of ten boxes that is not the keeper, and the keeper.
-fn box_and_keeper() -> (Quotas, SocketAddr) {
+/// Returns one of ten boxes that isn't the coordinator, and the coordinator's address.
+fn box_and_coordinator() -> (Quotas, SocketAddr) {
     let mut quotas = quotas_of(0);
-    let keeper = quotas.keeper(&workspace()).unwrap().clone();
-    if keeper != quota_box(0) {
-        return (quotas, keeper.address);
+    let coordinator = quotas.coordinator(&workspace()).unwrap().clone();
+    if coordinator != quota_box(0) {
+        return (quotas, coordinator.address);
     }
-    (quotas_of(1), keeper.address)
+    (quotas_of(1), coordinator.address)
 }
 
 fn quotas_of(me: u16) -> Quotas {
@@ -53,44 +53,45 @@
     quotas
 }
 
-/// The question that the next request asks.
-fn question(quotas: &mut Quotas, now: u64) -> ToKeeper {
+/// Returns the request for a grant that the next request causes.
+fn ask(quotas: &mut Quotas, now: u64) -> ToKeeper {
     match quotas.admit(&workspace(), LIMIT, now, 0.5, now) {
-        Admission::Ask(question) => question,
+        Admission::Ask(ask) => ask,
         other => panic!("{other:?}"),
     }
 }
 
-fn word(id: u64, stamp: u64) -> QuotaWord {
+fn reply(id: u64, stamp: u64) -> QuotaWord {
     QuotaWord {
         id,
         workspace: workspace(),
         is_granted: true,
-        is_tight: true,
+        is_near_limit: true,
         retry_after_ms: 0,
         stamp,
     }
 }
 
-fn count(id: u64, asks: bool, loan: Option<QuotaLoan>) -> QuotaCount {
+fn count(id: u64, needs_grant: bool, loan: Option<QuotaLoan>) -> QuotaCount {
     QuotaCount {
         id,
         workspace: workspace(),
-        runs: i32::from(asks),
-        asks,
-        turned_away: 0,
+        runs: i32::from(needs_grant),
+        needs_grant,
+        refused_locally: 0,
         loan,
     }
 }
 
-/// Two boxes kept a quota at once, and each filled its bucket by all boxes.
+/// Guards against two boxes that coordinate a quota at once and each fill the bucket at the rate
+/// of all boxes.
 #[test]
-fn a_box_lends_its_part_to_two_keepers() {
-    let (mut quotas, keeper) = box_and_keeper();
-    let first = question(&mut quotas, KNOWN);
-    assert_eq!(first.count.loan, None, "no word of it yet");
-    quotas.answered(&word(first.count.id, 70), keeper, 0.5, KNOWN + 10);
-    let loan = question(&mut quotas, KNOWN + 20).count.loan.unwrap();
+fn a_box_lends_its_share_to_one_coordinator_at_a_time() {
+    let (mut quotas, coordinator) = box_and_coordinator();
+    let first = ask(&mut quotas, SETTLED_AT_MS);
+    assert_eq!(first.count.loan, None, "no reply of the coordinator yet");
+    quotas.answered(&reply(first.count.id, 70), coordinator, 0.5, SETTLED_AT_MS + 10);
+    let loan = ask(&mut quotas, SETTLED_AT_MS + 20).count.loan.unwrap();
     assert_eq!(
         loan,
         QuotaLoan {
@@ -98,19 +99,19 @@
             boxes: 10
         }
     );
-    let left: Vec<QuotaBox> = (0..10).map(quota_box).collect();
-    let left = left.into_iter().filter(|held| held.address != keeper);
-    quotas.set_boxes(left.collect(), 9, KNOWN + 30);
-    let next = quotas.keeper(&workspace()).unwrap().address;
-    for now in [KNOWN + 40, KNOWN + 700] {
-        let id = question(&mut quotas, now).count.id;
-        quotas.answered(&word(id, 900), next, 0.5, now + 10);
-        assert_eq!(question(&mut quotas, now + 20).count.loan, None, "{now}");
+    let remaining: Vec<QuotaBox> = (0..10).map(quota_box).collect();
+    let remaining = remaining.into_iter().filter(|held| held.address != coordinator);
+    quotas.set_boxes(remaining.collect(), 9, SETTLED_AT_MS + 30);
+    let next = quotas.coordinator(&workspace()).unwrap().address;
+    for now in [SETTLED_AT_MS + 40, SETTLED_AT_MS + 700] {
+        let id = ask(&mut quotas, now).count.id;
+        quotas.answered(&reply(id, 900), next, 0.5, now + 10);
+        assert_eq!(ask(&mut quotas, now + 20).count.loan, None, "{now}");
     }
-    // The first keeper's lease is over.
-    let id = question(&mut quotas, KNOWN + 810).count.id;
-    quotas.answered(&word(id, 1_600), next, 0.5, KNOWN + 820);
-    let loan = question(&mut quotas, KNOWN + 830).count.loan.unwrap();
+    // The lease of the first coordinator has expired.
+    let id = ask(&mut quotas, SETTLED_AT_MS + 810).count.id;
+    quotas.answered(&reply(id, 1_600), next, 0.5, SETTLED_AT_MS + 820);
+    let loan = ask(&mut quotas, SETTLED_AT_MS + 830).count.loan.unwrap();
     assert_eq!(
         loan,
         QuotaLoan {
@@ -120,28 +121,29 @@
     );
 }
 
-/// A box whose keeper had fallen silent used the part that the keeper was still filling by.
+/// Guards against a box that uses its own share when the coordinator stops replying but still
+/// fills its bucket with that share.
 #[test]
-fn a_box_uses_its_part_while_it_is_lent() {
-    let (mut quotas, keeper) = box_and_keeper();
-    let first = question(&mut quotas, KNOWN);
-    quotas.answered(&word(first.count.id, 70), keeper, 0.5, KNOWN + 10);
-    let asked = question(&mut quotas, KNOWN + 20);
-    let again = quotas.unanswered(asked, LIMIT, false, KNOWN + 80);
+fn a_box_does_not_use_its_share_while_it_is_lent() {
+    let (mut quotas, coordinator) = box_and_coordinator();
+    let first = ask(&mut quotas, SETTLED_AT_MS);
+    quotas.answered(&reply(first.count.id, 70), coordinator, 0.5, SETTLED_AT_MS + 10);
+    let asked = ask(&mut quotas, SETTLED_AT_MS + 20);
+    let again = quotas.unanswered(asked, LIMIT, false, SETTLED_AT_MS + 80);
     let Admission::Ask(asked) = again else {
         panic!("{again:?}");
     };
-    let refused = quotas.unanswered(asked.clone(), LIMIT, true, KNOWN + 140);
+    let refused = quotas.unanswered(asked.clone(), LIMIT, true, SETTLED_AT_MS + 140);
     assert!(matches!(refused, Admission::Refuse { retry_after_ms } if retry_after_ms >= 670));
-    let alone = quotas.unanswered(asked, LIMIT, true, KNOWN + 811);
+    let alone = quotas.unanswered(asked, LIMIT, true, SETTLED_AT_MS + 811);
     assert_eq!(alone, Admission::Send(None));
 }
 
-/// A keeper's bucket: how many requests of one box it grants in the second that follows.
-fn granted(keeper: &mut Quotas, from: u64) -> usize {
+/// Returns how many requests of one box the coordinator grants in the second from `from`.
+fn granted(coordinator: &mut Quotas, from: u64) -> usize {
     let mut ask = |now: u64| {
-        let word = keeper.hear_count(&count(now, true, None), address(1), LIMIT, now);
-        word.is_some_and(|word| word.is_granted)
+        let reply = coordinator.hear_count(&count(now, true, None), address(1), LIMIT, now);
+        reply.is_some_and(|reply| reply.is_granted)
     };
     (from..from + 1_000)
         .step_by(2)
@@ -149,12 +151,12 @@
         .count()
 }
 
-/// Loans that can't be meant filled a keeper's bucket.
+/// Guards against invalid loans that fill a coordinator's bucket.
 #[test]
-fn a_bucket_fills_by_loans_that_are_none() {
-    let mut keeper = quotas_of(0);
-    granted(&mut keeper, KNOWN);
-    let began = KNOWN + 2_000;
+fn a_bucket_ignores_invalid_loans() {
+    let mut coordinator = quotas_of(0);
+    granted(&mut coordinator, SETTLED_AT_MS);
+    let began = SETTLED_AT_MS + 2_000;
     let bad = [
         QuotaLoan {
             stamp: began + 60_000,
@@ -176,77 +178,80 @@
     ];
     for (place, loan) in bad.into_iter().enumerate() {
         let lender = address(20 + place as u16);
-        keeper.hear_count(&count(0, false, Some(loan)), lender, LIMIT, began);
+        coordinator.hear_count(&count(0, false, Some(loan)), lender, LIMIT, began);
     }
-    assert_eq!(granted(&mut keeper, began), 0);
+    assert_eq!(granted(&mut coordinator, began), 0);
     let good = QuotaLoan {
         stamp: began + 1_000,
         boxes: 2,
     };
-    keeper.hear_count(
+    coordinator.hear_count(
         &count(0, false, Some(good)),
         address(40),
         LIMIT,
         began + 1_000,
     );
-    let granted = granted(&mut keeper, began + 1_000);
+    let granted = granted(&mut coordinator, began + 1_000);
     assert!(
         (35..=41).contains(&granted),
-        "half of 100 a second for 0.8 s: {granted}"
+        "half of 100 per second for 0.8 s: {granted}"
     );
 }
 
-/// A box that started again lent what its former life had lent to another keeper.
+/// Guards against a restarted box that lends a share which it lent to another coordinator before
+/// its restart.
 #[test]
-fn a_box_that_has_just_started_lends_its_part() {
-    let (mut quotas, keeper) = box_and_keeper();
+fn a_box_that_has_just_started_lends_nothing() {
+    let (mut quotas, coordinator) = box_and_coordinator();
     for now in [700, 790] {
-        let id = question(&mut quotas, now).count.id;
-        quotas.answered(&word(id, 70), keeper, 0.5, now + 1);
-        assert_eq!(question(&mut quotas, now + 2).count.loan, None, "{now}");
+        let id = ask(&mut quotas, now).count.id;
+        quotas.answered(&reply(id, 70), coordinator, 0.5, now + 1);
+        assert_eq!(ask(&mut quotas, now + 2).count.loan, None, "{now}");
     }
-    let id = question(&mut quotas, 810).count.id;
-    quotas.answered(&word(id, 80), keeper, 0.5, 811);
-    assert!(question(&mut quotas, 812).count.loan.is_some());
+    let id = ask(&mut quotas, 810).count.id;
+    quotas.answered(&reply(id, 80), coordinator, 0.5, 811);
+    assert!(ask(&mut quotas, 812).count.loan.is_some());
 }
 
-/// A box that was not told how many there are lent its side's part, or kept the quota for it.
+/// Guards against a box that doesn't know the fleet's size and lends or coordinates as if its side
+/// of a cut were the whole fleet.
 #[test]
-fn a_box_that_was_not_told_the_fleet_s_size_owns_a_part() {
-    let (mut quotas, keeper) = box_and_keeper();
+fn a_box_that_does_not_know_the_fleet_s_size_owns_no_share() {
+    let (mut quotas, coordinator) = box_and_coordinator();
     quotas.set_fleet_size(KnownSize::Awaited);
-    let asked = question(&mut quotas, KNOWN);
-    let word = QuotaWord {
+    let asked = ask(&mut quotas, SETTLED_AT_MS);
+    let reply = QuotaWord {
         id: asked.count.id,
         workspace: workspace(),
         is_granted: true,
-        is_tight: true,
+        is_near_limit: true,
         retry_after_ms: 0,
-        stamp: KNOWN,
+        stamp: SETTLED_AT_MS,
     };
-    quotas.answered(&word, keeper, 0.5, KNOWN + 20);
-    assert_eq!(question(&mut quotas, KNOWN + 30).count.loan, None);
+    quotas.answered(&reply, coordinator, 0.5, SETTLED_AT_MS + 20);
+    assert_eq!(ask(&mut quotas, SETTLED_AT_MS + 30).count.loan, None);
     let count = asked.count;
-    let word = quotas.hear_count(&count, address(9), LIMIT, KNOWN + 40);
-    assert_eq!(word, None, "it keeps nothing");
+    let reply = quotas.hear_count(&count, address(9), LIMIT, SETTLED_AT_MS + 40);
+    assert_eq!(reply, None, "it doesn't act as the coordinator");
     quotas.set_fleet_size(KnownSize::Told(40));
-    let loan = question(&mut quotas, KNOWN + 50).count.loan.unwrap();
+    let loan = ask(&mut quotas, SETTLED_AT_MS + 50).count.loan.unwrap();
     assert_eq!(loan.boxes, 40);
 }
 
-/// A box that hears nobody, and was told nothing, kept the whole quota for itself.
+/// Guards against a box that knows neither another box nor the fleet's size and uses the whole
+/// quota.
 #[test]
-fn a_box_that_hears_nobody_keeps_the_whole_quota() {
+fn a_box_that_knows_no_other_box_does_not_use_the_whole_quota() {
     let alone = || vec![quota_box(0)];
     let mut quotas = Quotas::new(quota_box(0).id, BOUNDS);
     quotas.set_boxes(alone(), 1, 1);
     let mut sent = 0;
-    for now in (KNOWN..KNOWN + 5_000).step_by(10) {
+    for now in (SETTLED_AT_MS..SETTLED_AT_MS + 5_000).step_by(10) {
         let admission = quotas.admit(&workspace(), LIMIT, now, 0.5, now);
         sent += usize::from(matches!(admission, Admission::Send(_)));
     }
-    assert!(sent <= 1, "{sent} in 5 s");
+    assert!(sent <= 1, "{sent} requests in 5 s");
     quotas.set_fleet_size(KnownSize::Told(1));
-    let admission = quotas.admit(&workspace(), LIMIT, 1, 0.5, KNOWN + 6_000);
+    let admission = quotas.admit(&workspace(), LIMIT, 1, 0.5, SETTLED_AT_MS + 6_000);
     assert_eq!(admission, Admission::Send(None));
 }
