--- a/crates/routing/src/upstream_limits/limit.rs
+++ b/crates/routing/src/upstream_limits/limit.rs
@@ -1,21 +1,21 @@
-//! A limit as an upstream names it.
+//! A limit declared by an upstream.
 
 use brasswinch_types::{UpstreamSignalError, decimal};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::str::FromStr;
 
-/// The most that is taken for a limit, in requests a second. What all boxes are built to look
-/// up together is 3.2 million a second.
-const MOST_PER_S: f64 = 1e9;
+/// Largest accepted limit, in requests per second. All boxes together are designed for 3.2 million
+/// requests per second.
+const MAX_PER_S: f64 = 1e9;
 
-/// Requests a second that an upstream takes from all boxes together.
+/// Requests per second that an upstream accepts from all boxes together.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct UpstreamLimit(f64);
 
 impl UpstreamLimit {
-    /// Requests a second.
+    /// Returns the limit in requests per second.
     pub fn per_s(self) -> f64 {
         self.0
     }
@@ -25,7 +25,7 @@
     type Error = UpstreamSignalError;
 
     fn try_from(per_s: f64) -> Result<Self, Self::Error> {
-        if (0.0..=MOST_PER_S).contains(&per_s) {
+        if (0.0..=MAX_PER_S).contains(&per_s) {
             Ok(Self(per_s))
         } else {
             Err(UpstreamSignalError::OutOfRange)
--- a/crates/routing/src/upstream_limits/message.rs
+++ b/crates/routing/src/upstream_limits/message.rs
@@ -1,54 +1,55 @@
-//! What boxes and keepers of upstreams' limits say to each other.
+//! Messages between boxes and the coordinators of upstreams' limits.
 
 use super::UpstreamLimit;
 use crate::upstream::UpstreamLife;
 use brasswinch_types::Millis;
 use serde::{Deserialize, Serialize};
 
-/// Asks the keeper of an upstream's limit whether a request may be sent there.
+/// Asks the coordinator of an upstream's limit to grant a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitQuestion {
-    /// Names the question in its answer; drawn by the asking box.
+    /// Random id of the query, repeated in the reply.
     #[serde(rename = "q")]
     pub id: u64,
     /// The upstream.
     #[serde(flatten)]
     pub life: UpstreamLife,
-    /// Its limit as the box knows it; a keeper that knows none goes by it.
+    /// The limit as known to the box; a coordinator that knows none uses it.
     #[serde(rename = "l")]
     pub limit: UpstreamLimit,
 }
 
-/// A keeper's answer.
+/// A coordinator's reply to a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitWord {
-    /// The question's.
+    /// The query's id.
     #[serde(rename = "q")]
     pub id: u64,
     /// Whether the request may be sent.
     #[serde(rename = "g")]
     pub is_granted: bool,
-    /// When the next request may be sent, in milliseconds.
+    /// Time until the next request may be granted, in milliseconds.
     #[serde(rename = "f")]
-    pub free_in_ms: Millis,
-    /// When a client comes back best that nobody else serves, in milliseconds.
+    pub next_grant_in_ms: Millis,
+    /// Retry time for a client that no other upstream serves, in milliseconds.
     #[serde(rename = "r")]
     pub retry_after_ms: Millis,
 }
 
-/// What an upstream's answer named: told to the limit's keeper, and by it to all boxes.
+/// A limit declared in an upstream's response. It is sent to the coordinator, which broadcasts it
+/// to all boxes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitNews {
     /// The upstream.
     #[serde(flatten)]
     pub life: UpstreamLife,
-    /// Its limit; `None` where it names none any more.
+    /// The limit; `None` where the upstream no longer declares one.
     #[serde(rename = "l")]
     pub limit: Option<UpstreamLimit>,
-    /// Whether the box that tells it knew of no limit before.
+    /// Whether the sender of the update knew of no limit before.
     #[serde(rename = "f")]
     pub is_first: bool,
-    /// Whether the keeper tells it.
+    /// Whether the coordinator sent the update.
     #[serde(rename = "k")]
-    pub is_from_keeper: bool,
+    pub is_from_coordinator: bool,
 }
--- a/crates/routing/src/upstream_limits/mod.rs
+++ b/crates/routing/src/upstream_limits/mod.rs
@@ -1,30 +1,32 @@
-//! Keeps the limits that upstreams name in their answers: requests a second from all boxes
-//! together.
+//! Enforces the rate limits that upstreams declare in their responses: requests per second from
+//! all boxes together.
 //!
-//! One box counts for an upstream, its limit's keeper: by rendezvous among the boxes that serve
-//! in the upstream's zone, else in its region, else anywhere. So whoever reaches the upstream
-//! mostly reaches the keeper too. A box that knows of a limit asks the keeper before each request
-//! that it would send there; without its grant the request goes elsewhere. A keeper that is silent
-//! grants nothing.
+//! One box, the limit's coordinator, counts the requests to an upstream. It is chosen by
+//! rendezvous hashing among the serving boxes in the upstream's zone, else in its region, else
+//! anywhere. So a box that reaches the upstream usually reaches the coordinator too. A box that
+//! knows of a limit asks the coordinator for a grant before each request to that upstream; without
+//! a grant the request goes elsewhere. A coordinator that doesn't reply grants nothing.
 //!
-//! A box learns of a limit by an answer of the upstream or from the keeper, which tells all when
-//! it hears of the limit first. It learns of the end by an answer to a request that had a grant and
-//! names none: the upstream made that answer after it had named the limit. So no clock and no
-//! order of messages matters. A box that missed the end asks the keeper once more, and the answer
-//! to that request tells it.
+//! A box learns of a limit from a response of the upstream or from the coordinator, which
+//! broadcasts the limit when it first learns of it. A box learns of the limit's end from a
+//! response that names no limit, to a request that had a grant: the upstream made that response
+//! after it had declared the limit. So neither clocks nor the order of messages matter. A box that
+//! missed the end asks the coordinator once more, and learns of the end from the response to that
+//! request.
 //!
-//! What boxes that know of the limit send in any span `W` is at most
+//! In any time span `W`, the requests sent by boxes that know of the limit are at most
 //!
 //! ```text
-//! rate * W + 1 + BURST_S * rate                            the keeper's bucket
-//!   + TAKEOVER_PART * (rate * W + BURST_S * rate) + 1      one that others take for the keeper
+//! rate * W + 1 + BURST_S * rate                                the coordinator's bucket
+//!   + TAKEOVER_FRACTION * (rate * W + BURST_S * rate) + 1      a second box taken for coordinator
 //! ```
 //!
-//! A box that begins to count for others that knew of the limit before counts in another's place,
-//! which may still grant requests to boxes whose view of the membership differs; for `TAKEOVER_MS`
-//! it sends a part. A keeper that is dead, frozen or out of reach grants nothing.
+//! A box that begins to coordinate a limit that others knew before may take over from a
+//! coordinator that still grants requests to boxes with a different view of the membership. For
+//! `TAKEOVER_MS` it grants only a fraction of the limit. A coordinator that is dead, frozen or
+//! unreachable grants nothing.
 
-mod keeper;
+mod coordinator;
 mod limit;
 mod message;
 mod status;
@@ -33,134 +35,135 @@
 use crate::rendezvous::{object_hash, weighted_score};
 use crate::upstream::UpstreamLife;
 use brasswinch_types::{BoxId, Millis, Region, Zone};
-use keeper::LimitKeeper;
+use coordinator::LimitCoordinator;
 pub use limit::UpstreamLimit;
 pub use message::{LimitNews, LimitQuestion, LimitWord};
 pub use status::LimitStatus;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-/// How long a box sends nothing to an upstream whose limit's keeper did not answer: a dead one
-/// is noticed in a second or two, and each question until then would cost a request its wait.
-const UNHEARD_MS: Millis = 500;
+/// How long a box sends nothing to an upstream whose coordinator didn't reply. A dead coordinator
+/// is detected within a second or two, and until then each request to it would wait for the full
+/// timeout.
+const NO_REPLY_HOLD_OFF_MS: Millis = 500;
 
-/// How long after a box that has started last heard of a further one it grants itself nothing:
-/// boxes that all start together know only themselves at first. Seven of them sent 313 requests in
-/// 4 s without it, of 305 (the model, a limit of 50 a second).
-const SETTLED_MS: Millis = 2_000;
+/// Time after the last discovery of a further box during which a started box grants itself
+/// nothing: boxes that all start together know only themselves at first. Without it, seven boxes
+/// sent 313 requests in 4 s, of 305 allowed (in simulation, with a limit of 50 per second).
+const SETTLE_MS: Millis = 2_000;
 
-/// Most upstreams whose limits one box knows or counts: twenty for each of the 700 sites that
+/// Most upstreams whose limits one box knows or coordinates: twenty for each of the 700 sites that
 /// the system is built for.
-const MOST_LIMITS: usize = 14_000;
+const MAX_LIMITS: usize = 14_000;
 
-/// A box that serves, as limits see it.
+/// A serving box, as seen by limits.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitBox {
     /// The box.
     pub id: BoxId,
-    /// Where it stands.
+    /// The box's zone.
     pub zone: Zone,
-    /// Where other boxes reach it.
+    /// Address for messages of other boxes.
     pub address: SocketAddr,
 }
 
-/// A question to the keeper of an upstream's limit.
+/// A query to the coordinator of an upstream's limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ToLimitKeeper {
-    /// Where the keeper is.
+    /// The coordinator's address.
     pub address: SocketAddr,
-    /// The question.
+    /// The query.
     pub question: LimitQuestion,
 }
 
-/// Whether a request may be sent to an upstream.
+/// The decision about a request to an upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LimitAdmission {
-    /// The upstream names no limit.
+    /// The upstream has no limit.
     Unlimited,
-    /// Its limit has room, and the request is counted.
+    /// The request is granted and counted.
     Granted,
-    /// The keeper has to be asked.
+    /// The coordinator must grant the request first.
     Ask(ToLimitKeeper),
-    /// It may not.
+    /// The request must not be sent.
     Refused(LimitRefusal),
 }
 
-/// A request that an upstream's limit leaves no room for.
+/// A refusal because of an upstream's limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitRefusal {
-    /// How long this box sends nothing there, in milliseconds.
+    /// How long this box sends nothing to the upstream, in milliseconds.
     pub hold_off_ms: Millis,
-    /// When a client comes back best that nobody else serves, in milliseconds.
+    /// Retry time for a client that no other upstream serves, in milliseconds.
     pub retry_after_ms: Millis,
 }
 
-/// What an answer changes in what a box knows of an upstream's limit.
+/// A change of an upstream's limit, as known to a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LimitChange {
-    /// It names one, or another one than before.
+    /// The upstream declared a limit, or a different one.
     Named(UpstreamLimit),
-    /// It names none any more.
+    /// The upstream no longer declares a limit.
     Lifted,
 }
 
-/// What an answer of an upstream told.
+/// The limit observed in a response of an upstream.
 #[derive(Clone, Copy, Debug)]
 pub struct LimitAnswer<'a> {
     /// The upstream.
     pub life: &'a UpstreamLife,
-    /// Where it stands.
+    /// The upstream's zone.
     pub zone: &'a Zone,
-    /// The limit that the answer names; `None` where it names none.
+    /// The limit that the response names, if any.
     pub limit: Option<UpstreamLimit>,
-    /// Whether the request was sent with a grant of the limit's keeper.
+    /// Whether the request had a grant of the coordinator.
     pub had_grant: bool,
 }
 
-/// The limits that upstreams name, as one box takes part in keeping them.
+/// One box's state of the limits that upstreams declare.
 #[derive(Debug)]
 pub struct UpstreamLimits {
     me: BoxId,
     /// Regions by zone.
     regions: BTreeMap<Zone, Region>,
     boxes: Vec<(LimitBox, u64)>,
-    /// The most boxes that were ever known together.
-    most_boxes: usize,
-    /// When this box last learned, after its start, that there are more.
+    /// Most boxes ever known at once.
+    max_known_boxes: usize,
+    /// When the number of known boxes last grew.
     grew_at: Millis,
     known: HashMap<UpstreamLife, UpstreamLimit>,
-    kept: LimitKeeper,
-    /// Messages to be sent.
-    out: Vec<(SocketAddr, LimitNews)>,
+    coordinated: LimitCoordinator,
+    /// Outgoing messages.
+    outgoing: Vec<(SocketAddr, LimitNews)>,
 }
 
 impl UpstreamLimits {
-    /// Takes part as `me`.
+    /// Creates the state of the box `me`.
     pub fn new(me: BoxId, regions: BTreeMap<Zone, Region>) -> Self {
         Self {
             me,
             regions,
             boxes: Vec::new(),
-            most_boxes: 0,
+            max_known_boxes: 0,
             grew_at: 0,
             known: HashMap::new(),
-            kept: LimitKeeper::default(),
-            out: Vec::new(),
+            coordinated: LimitCoordinator::default(),
+            outgoing: Vec::new(),
         }
     }
 
-    /// Takes the boxes that serve, this one included if it does.
+    /// Sets the serving boxes, including this one if it serves.
     pub fn set_boxes(&mut self, boxes: Vec<LimitBox>, now: Millis) {
-        if boxes.len() > self.most_boxes {
-            self.most_boxes = boxes.len();
+        if boxes.len() > self.max_known_boxes {
+            self.max_known_boxes = boxes.len();
             self.grew_at = now;
         }
-        if self.boxes.iter().map(|(held, _)| held).eq(&boxes) {
+        if self.boxes.iter().map(|(limit_box, _)| limit_box).eq(&boxes) {
             return;
         }
-        let hashed = |held: LimitBox| {
-            let hash = object_hash("limit", held.id.as_str().as_bytes());
-            (held, hash)
+        let hashed = |limit_box: LimitBox| {
+            let hash = object_hash("limit", limit_box.id.as_str().as_bytes());
+            (limit_box, hash)
         };
         self.boxes = boxes.into_iter().map(hashed).collect();
     }
@@ -170,13 +173,13 @@
         self.known.is_empty()
     }
 
-    /// The limit that an upstream names, as this box knows it.
+    /// Returns the upstream's limit, as known to this box.
     pub fn limit(&self, life: &UpstreamLife) -> Option<UpstreamLimit> {
         self.known.get(life).copied()
     }
 
-    /// Says whether a request may be sent to an upstream in `zone`. `id` names the question, and
-    /// `random` is drawn from 0 to 1.
+    /// Decides whether a request may be sent to an upstream in `zone`. `id` identifies the query,
+    /// and `random` is drawn from 0 to 1.
     pub fn admit(
         &mut self,
         life: &UpstreamLife,
@@ -193,115 +196,115 @@
             life: life.clone(),
             limit,
         };
-        match self.other_keeper(life, zone) {
+        match self.remote_coordinator(life, zone) {
             Some(address) => LimitAdmission::Ask(ToLimitKeeper { address, question }),
-            None if now < self.grew_at + SETTLED_MS => {
+            None if now < self.grew_at + SETTLE_MS => {
                 LimitAdmission::Refused(Self::unheard(random))
             }
             None => {
-                let word = self.kept.answer(&question, now);
-                Self::answered(Some(&word), random)
+                let reply = self.coordinated.answer(&question, now);
+                Self::answered(Some(&reply), random)
             }
         }
     }
 
-    /// Says what the answer to a question means; `None` where none came in time.
-    pub fn answered(word: Option<&LimitWord>, random: f64) -> LimitAdmission {
-        match word {
-            Some(word) if word.is_granted => LimitAdmission::Granted,
-            Some(word) => LimitAdmission::Refused(LimitRefusal {
-                hold_off_ms: spread(word.free_in_ms, random),
-                retry_after_ms: spread(word.retry_after_ms, random),
+    /// Converts the reply to a query into a decision; `None` if no reply arrived in time.
+    pub fn answered(reply: Option<&LimitWord>, random: f64) -> LimitAdmission {
+        match reply {
+            Some(reply) if reply.is_granted => LimitAdmission::Granted,
+            Some(reply) => LimitAdmission::Refused(LimitRefusal {
+                hold_off_ms: spread(reply.next_grant_in_ms, random),
+                retry_after_ms: spread(reply.retry_after_ms, random),
             }),
             None => LimitAdmission::Refused(Self::unheard(random)),
         }
     }
 
-    /// What follows from a keeper's silence.
+    /// Returns the refusal that follows when the coordinator doesn't reply.
     pub fn unheard(random: f64) -> LimitRefusal {
         LimitRefusal {
-            hold_off_ms: spread(UNHEARD_MS, random),
-            retry_after_ms: spread(UNHEARD_MS, random),
+            hold_off_ms: spread(NO_REPLY_HOLD_OFF_MS, random),
+            retry_after_ms: spread(NO_REPLY_HOLD_OFF_MS, random),
         }
     }
 
-    /// Answers another box.
+    /// Handles a query of another box.
     pub fn hear_question(&mut self, question: &LimitQuestion, now: Millis) -> LimitWord {
         if self.limit(&question.life).is_none() {
             self.set_known(&question.life, Some(question.limit));
         }
-        self.kept.answer(question, now)
+        self.coordinated.answer(question, now)
     }
 
-    /// Takes what an upstream's answer named. Says what that changes.
+    /// Handles a response of an upstream. Returns the change of the known limit, if any.
     pub fn named(&mut self, answer: &LimitAnswer<'_>, now: Millis) -> Option<LimitChange> {
-        let is_older_answer = answer.limit.is_none() && !answer.had_grant;
+        let may_be_outdated = answer.limit.is_none() && !answer.had_grant;
         let before = self.limit(answer.life);
-        if is_older_answer || before == answer.limit {
+        if may_be_outdated || before == answer.limit {
             return None;
         }
-        let news = LimitNews {
+        let update = LimitNews {
             life: answer.life.clone(),
             limit: answer.limit,
             is_first: before.is_none(),
-            is_from_keeper: false,
+            is_from_coordinator: false,
         };
-        match self.other_keeper(answer.life, answer.zone) {
-            Some(address) => self.out.push((address, news.clone())),
-            None => self.count(&news, now),
+        match self.remote_coordinator(answer.life, answer.zone) {
+            Some(address) => self.outgoing.push((address, update.clone())),
+            None => self.coordinate(&update, now),
         }
-        self.set_known(&news.life, news.limit);
+        self.set_known(&update.life, update.limit);
         Some(answer.limit.map_or(LimitChange::Lifted, LimitChange::Named))
     }
 
-    /// Takes what another box tells of an upstream's limit. Says what that changes.
-    pub fn hear_news(&mut self, news: &LimitNews, now: Millis) -> Option<LimitChange> {
-        let before = self.limit(&news.life);
-        if news.is_from_keeper && news.limit.is_none() {
-            self.kept.named(news, now);
-        } else if !news.is_from_keeper {
-            self.count(news, now);
+    /// Handles an update from another box. Returns the change of the known limit, if any.
+    pub fn hear_news(&mut self, update: &LimitNews, now: Millis) -> Option<LimitChange> {
+        let before = self.limit(&update.life);
+        if update.is_from_coordinator && update.limit.is_none() {
+            self.coordinated.record(update, now);
+        } else if !update.is_from_coordinator {
+            self.coordinate(update, now);
         }
-        self.set_known(&news.life, news.limit);
-        let is_changed = before != news.limit;
-        is_changed.then(|| news.limit.map_or(LimitChange::Lifted, LimitChange::Named))
+        self.set_known(&update.life, update.limit);
+        let is_changed = before != update.limit;
+        is_changed.then(|| update.limit.map_or(LimitChange::Lifted, LimitChange::Named))
     }
 
-    /// Messages to be sent now.
+    /// Takes the outgoing messages.
     pub fn take_news(&mut self) -> Vec<(SocketAddr, LimitNews)> {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outgoing)
     }
 
-    /// What operators see, by upstream.
+    /// Returns the status of the limits, ordered by upstream.
     pub fn status(&self, now: Millis) -> Vec<LimitStatus> {
         let status = |(life, limit): (&UpstreamLife, &UpstreamLimit)| LimitStatus {
             upstream: life.upstream.clone(),
             limit: *limit,
-            refused_per_s: self.kept.refused_per_s(life, now),
+            refused_per_s: self.coordinated.refused_per_s(life, now),
         };
         let mut all: Vec<LimitStatus> = self.known.iter().map(status).collect();
         all.sort_by(|a, b| a.upstream.cmp(&b.upstream));
         all
     }
 
-    /// Forgets lives of upstreams that are over.
-    pub fn retain(&mut self, is_held: impl Fn(&UpstreamLife) -> bool) {
-        self.known.retain(|life, _| is_held(life));
-        self.kept.retain(is_held);
+    /// Removes limits of upstream instances that are gone.
+    pub fn retain(&mut self, is_live: impl Fn(&UpstreamLife) -> bool) {
+        self.known.retain(|life, _| is_live(life));
+        self.coordinated.retain(is_live);
     }
 
-    /// Takes news as the limit's keeper, and tells all boxes where that is due.
-    fn count(&mut self, news: &LimitNews, now: Millis) {
-        if !self.kept.named(news, now) {
+    /// Handles an update as the limit's coordinator, and broadcasts it where necessary.
+    fn coordinate(&mut self, update: &LimitNews, now: Millis) {
+        if !self.coordinated.record(update, now) {
             return;
         }
-        let told = LimitNews {
-            is_from_keeper: true,
-            ..news.clone()
+        let update = LimitNews {
+            is_from_coordinator: true,
+            ..update.clone()
         };
-        let others = self.boxes.iter().filter(|(held, _)| held.id != self.me);
-        let out = others.map(|(held, _)| (held.address, told.clone()));
-        self.out.extend(out);
+        let others = self.boxes.iter().filter(|(limit_box, _)| limit_box.id != self.me);
+        let outgoing = others.map(|(limit_box, _)| (limit_box.address, update.clone()));
+        self.outgoing.extend(outgoing);
     }
 
     fn set_known(&mut self, life: &UpstreamLife, limit: Option<UpstreamLimit>) {
@@ -309,32 +312,33 @@
             self.known.remove(life);
             return;
         };
-        if self.known.len() < MOST_LIMITS || self.known.contains_key(life) {
+        if self.known.len() < MAX_LIMITS || self.known.contains_key(life) {
             self.known.insert(life.clone(), limit);
         }
     }
 
-    /// Where the keeper of the upstream's limit is; `None` where this box is it, or knows no box.
-    fn other_keeper(&self, life: &UpstreamLife, zone: &Zone) -> Option<SocketAddr> {
+    /// Returns the address of the limit's coordinator; `None` where that is this box, or no box is
+    /// known.
+    fn remote_coordinator(&self, life: &UpstreamLife, zone: &Zone) -> Option<SocketAddr> {
         let region = self.regions.get(zone);
-        let in_zone = |held: &LimitBox| &held.zone == zone;
-        let in_region = |held: &LimitBox| self.regions.get(&held.zone) == region;
-        let keeper = self
-            .best_of(life, in_zone)
-            .or_else(|| self.best_of(life, in_region))
-            .or_else(|| self.best_of(life, |_| true))?;
-        (keeper.id != self.me).then_some(keeper.address)
+        let in_zone = |limit_box: &LimitBox| &limit_box.zone == zone;
+        let in_region = |limit_box: &LimitBox| self.regions.get(&limit_box.zone) == region;
+        let coordinator = self
+            .highest_ranked(life, in_zone)
+            .or_else(|| self.highest_ranked(life, in_region))
+            .or_else(|| self.highest_ranked(life, |_| true))?;
+        (coordinator.id != self.me).then_some(coordinator.address)
     }
 
-    fn best_of(
+    fn highest_ranked(
         &self,
         life: &UpstreamLife,
         is_candidate: impl Fn(&LimitBox) -> bool,
     ) -> Option<&LimitBox> {
         let upstream = object_hash("limit", life.upstream.as_str().as_bytes());
-        let candidates = self.boxes.iter().filter(|(held, _)| is_candidate(held));
+        let candidates = self.boxes.iter().filter(|(limit_box, _)| is_candidate(limit_box));
         let score = |hash: u64| weighted_score(upstream, hash, 1.0);
-        let best = candidates.max_by(|(_, a), (_, b)| score(*a).total_cmp(&score(*b)));
-        best.map(|(held, _)| held)
+        let highest = candidates.max_by(|(_, a), (_, b)| score(*a).total_cmp(&score(*b)));
+        highest.map(|(limit_box, _)| limit_box)
     }
 }
--- a/crates/routing/tests/upstream_limits.rs
+++ b/crates/routing/tests/upstream_limits.rs
@@ -1,9 +1,10 @@
-//! A model of how boxes keep an upstream's limit together, in made-up time: boxes die, freeze,
-//! leave and start, messages are late or lost, and boxes learn of each other with delay. What
-//! decides is the real thing; a seed draws everything else.
+//! A simulation of boxes that enforce an upstream's limit together, in simulated time: boxes die,
+//! freeze, leave and start, messages are late or lost, and boxes discover each other with delay.
+//! The decisions are made by the real code; a seed determines everything else.
 //!
-//! Checked in every span of 4 s that begins 3 s after the upstream first named its limit: boxes
-//! that it told send no more than half as many again as the limit allows, and five.
+//! Checks every span of 4 s that begins at least 3 s after the upstream first declared its limit:
+//! the boxes that received the limit send at most one and a half times what it allows, plus five
+//! requests.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
@@ -19,55 +20,55 @@
 
 const ZONES: [&str; 6] = ["a-1", "a-2", "b-1", "b-2", "c-1", "c-2"];
 
-/// Where the upstream stands.
+/// The upstream's zone.
 const HOME_ZONE: &str = "a-1";
 
-/// When the upstream first names its limit.
-const NAMED_AT: Millis = 1_000;
+/// When the upstream first declares its limit.
+const DECLARED_AT_MS: Millis = 1_000;
 
-/// How long after that all boxes have to keep it.
-const LEARNED_WITHIN: Millis = 3_000;
+/// Time after that within which all boxes have to enforce it.
+const LEARNED_WITHIN_MS: Millis = 3_000;
 
-const WINDOW: Millis = 4_000;
+const WINDOW_MS: Millis = 4_000;
 
-/// How long after the first step of a fault the model runs.
-const AFTER_FAULT: Millis = 11_000;
+/// How long the simulation runs after the first step of a fault.
+const AFTER_FAULT_MS: Millis = 11_000;
 
-/// When a fault has its first step.
-const STRUCK_AT: Millis = 5_000;
+/// When the first step of a fault occurs.
+const FAULT_AT_MS: Millis = 5_000;
 
-/// How long a box waits for the keeper's answer.
-const ANSWER_WAIT: Millis = 150;
+/// How long a box waits for the coordinator's reply.
+const REPLY_TIMEOUT_MS: Millis = 150;
 
 /// How long an upstream works on a request.
-const WORK: Millis = 120;
+const WORK_MS: Millis = 120;
 
-/// How long the membership takes at most until a box knows that another came or went.
-const NOTICE: Millis = 1_500;
+/// Maximum time until the membership detects that a box came or left.
+const MAX_DETECTION_MS: Millis = 1_500;
 
-/// Steps of a fault, a second apart, at least.
-const STEPS: usize = 19;
+/// Minimum number of steps of a fault, a second apart.
+const MIN_STEPS: usize = 19;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     None,
-    /// The limit's keeper dies, and its successor a second later.
-    KeepersDie,
-    /// The keeper freezes for 3 s and wakes with what it held.
-    KeeperFreezes,
-    /// The keeper leaves in order; others learn of it at different times.
-    KeeperLeaves,
-    /// A box that would be the keeper starts, and is known at different times.
-    KeeperStarts,
-    /// All boxes start again, one after the other.
+    /// The limit's coordinator dies, and its successor a second later.
+    CoordinatorsDie,
+    /// The coordinator freezes for 3 s and resumes with its old state.
+    CoordinatorFreezes,
+    /// The coordinator leaves gracefully; other boxes learn of it at different times.
+    CoordinatorLeaves,
+    /// A box that would be the coordinator starts, and is discovered at different times.
+    CoordinatorStarts,
+    /// All boxes restart, one after the other.
     AllRestart,
-    /// All boxes start again at once, and each knows only itself until it hears of the others.
+    /// All boxes restart at once, and each knows only itself until it discovers the others.
     AllKilled,
-    /// A third of the boxes hears nothing from the rest, and the other way round.
+    /// A third of the boxes and the rest are cut off from each other.
     Cut,
-    /// A third of the boxes takes the keeper for dead for 7 s, and another for it; it lives.
+    /// A third of the boxes considers the live coordinator dead for 7 s, and uses another one.
     Disagreement,
-    /// The same for 3 s, and once more 15 s later.
+    /// The same for 3 s, and again 15 s later.
     Disagreements,
 }
 
@@ -75,7 +76,7 @@
 struct Case {
     boxes: usize,
     limit: f64,
-    /// Requests a second that all boxes want to send there.
+    /// Requests per second that all boxes together want to send to the upstream.
     wanted: f64,
     fault: Fault,
 }
@@ -84,22 +85,22 @@
     Arrives {
         at_box: usize,
     },
-    Question {
+    Query {
         to: usize,
         from: usize,
         question: LimitQuestion,
     },
-    Word {
+    Reply {
         to: usize,
-        word: LimitWord,
+        reply: LimitWord,
     },
-    Unheard {
+    ReplyTimeout {
         at_box: usize,
         id: u64,
     },
-    News {
+    Update {
         to: usize,
-        news: LimitNews,
+        update: LimitNews,
     },
     Reaches {
         from: usize,
@@ -110,10 +111,10 @@
         had_grant: bool,
         limit: Option<UpstreamLimit>,
     },
-    Members {
+    UpdateMembership {
         at_box: usize,
     },
-    Strike {
+    InjectFault {
         step: usize,
     },
     Wakes {
@@ -147,21 +148,22 @@
     }
 }
 
-/// One box: what decides, and what happens to it.
+/// A box: the real code, and its simulated state.
 struct ModelBox {
     limits: UpstreamLimits,
     is_up: bool,
-    /// Whether it wants to be known as one that serves.
+    /// Whether it announces itself as serving.
     serves: bool,
     frozen_until: Millis,
-    /// Which side of the cut it is on.
+    /// The side of the cut that it is on.
     side: usize,
-    held_off_until: Millis,
-    /// Questions that it waits for.
-    waits_for: Vec<u64>,
-    /// When an answer with the limit first reached a client here.
-    told_at: Option<Millis>,
-    /// Faults excuse its requests, not its answers.
+    hold_off_until: Millis,
+    /// Queries that wait for a reply.
+    pending: Vec<u64>,
+    /// When a response with the limit first reached this box.
+    learned_at: Option<Millis>,
+    /// Whether the fault excludes its requests from the check; the grants that it gives still
+    /// count.
     is_excused: bool,
 }
 
@@ -173,14 +175,15 @@
     scheduled: u64,
     boxes: Vec<ModelBox>,
     limit: Option<UpstreamLimit>,
-    /// When each request of a box that had been told reached the upstream.
+    /// When each request of a box that knew the limit reached the upstream.
     counted: Vec<Millis>,
-    /// When each request was granted. A message is lost at times, and the grant with it: what reaches
-    /// the upstream of a small limit in a few seconds is a matter of chance.
+    /// When each request was granted. A message may be lost and the grant with it, so that the
+    /// number of requests that reach an upstream with a small limit in a few seconds varies by
+    /// chance.
     granted: Vec<Millis>,
     is_cut: bool,
-    /// The box that a third of the others takes for dead.
-    thought_dead: Option<usize>,
+    /// The box that a third of the others considers dead.
+    presumed_dead: Option<usize>,
 }
 
 fn life() -> UpstreamLife {
@@ -228,9 +231,9 @@
             serves: true,
             frozen_until: 0,
             side: usize::from(place % 3 == 0),
-            held_off_until: 0,
-            waits_for: Vec::new(),
-            told_at: None,
+            hold_off_until: 0,
+            pending: Vec::new(),
+            learned_at: None,
             is_excused: false,
         });
         let mut model = Self {
@@ -244,19 +247,19 @@
             counted: Vec::new(),
             granted: Vec::new(),
             is_cut: false,
-            thought_dead: None,
+            presumed_dead: None,
         };
-        if case.fault == Fault::KeeperStarts {
-            let keeper = model.keeper();
-            model.boxes[keeper].serves = false;
+        if case.fault == Fault::CoordinatorStarts {
+            let coordinator = model.coordinator();
+            model.boxes[coordinator].serves = false;
         }
         for at_box in 0..case.boxes {
-            model.take_members(at_box);
+            model.update_membership(at_box);
             model.next_arrival(at_box);
         }
-        for step in 0..case.boxes.max(STEPS) {
-            let at = STRUCK_AT + 1_000 * step as Millis;
-            model.schedule(at, Event::Strike { step });
+        for step in 0..case.boxes.max(MIN_STEPS) {
+            let at = FAULT_AT_MS + 1_000 * step as Millis;
+            model.schedule(at, Event::InjectFault { step });
         }
         model
     }
@@ -278,92 +281,92 @@
         self.schedule(at, Event::Arrives { at_box });
     }
 
-    /// A message between boxes, unless it is lost; a tenth is.
+    /// Sends a message between boxes; one in ten is lost.
     fn send(&mut self, from: usize, to: usize, event: Event) {
         let is_apart = self.is_cut && self.boxes[from].side != self.boxes[to].side;
         if is_apart || self.random.random::<f64>() < 0.1 {
             return;
         }
         let same_zone = zone_of(from) == zone_of(to);
-        let most = if same_zone { 3 } else { 60 };
-        let way = self.random.random_range(1..=most);
-        self.schedule(self.now + way, event);
+        let max_delay_ms = if same_zone { 3 } else { 60 };
+        let delay_ms = self.random.random_range(1..=max_delay_ms);
+        self.schedule(self.now + delay_ms, event);
     }
 
-    /// The serving boxes as `at_box` sees them.
-    fn take_members(&mut self, at_box: usize) {
+    /// Updates the serving boxes as seen by `at_box`.
+    fn update_membership(&mut self, at_box: usize) {
         let side = self.boxes[at_box].side;
-        let is_heard = |held: &ModelBox| {
-            held.is_up
-                && held.serves
-                && self.now >= held.frozen_until
-                && (!self.is_cut || held.side == side)
+        let is_known = |model_box: &ModelBox| {
+            model_box.is_up
+                && model_box.serves
+                && self.now >= model_box.frozen_until
+                && (!self.is_cut || model_box.side == side)
         };
-        let is_thought_dead = |place: usize| side == 1 && self.thought_dead == Some(place);
+        let is_presumed_dead = |place: usize| side == 1 && self.presumed_dead == Some(place);
         let places = (0..self.boxes.len())
-            .filter(|place| is_heard(&self.boxes[*place]) && !is_thought_dead(*place));
-        let heard = places.map(limit_box).collect();
-        self.boxes[at_box].limits.set_boxes(heard, self.now);
+            .filter(|place| is_known(&self.boxes[*place]) && !is_presumed_dead(*place));
+        let known = places.map(limit_box).collect();
+        self.boxes[at_box].limits.set_boxes(known, self.now);
     }
 
-    /// All boxes learn of a change, each in its own time.
-    fn members_change(&mut self, least: Millis) {
+    /// Informs all boxes of a change, each after its own delay.
+    fn schedule_membership_updates(&mut self, min_delay_ms: Millis) {
         for at_box in 0..self.boxes.len() {
-            let at = self.now + self.random.random_range(least..=NOTICE.max(least + 1));
-            self.schedule(at, Event::Members { at_box });
+            let at = self.now + self.random.random_range(min_delay_ms..=MAX_DETECTION_MS.max(min_delay_ms + 1));
+            self.schedule(at, Event::UpdateMembership { at_box });
         }
     }
 
-    /// The box that counts: whoever would be asked by one that knows all.
-    fn keeper(&mut self) -> usize {
+    /// Returns the coordinator, as determined by a box that knows all others.
+    fn coordinator(&mut self) -> usize {
         let mut probe = UpstreamLimits::new(BoxId::new("probe"), regions());
         let serving = (0..self.boxes.len()).filter(|place| {
-            let held = &self.boxes[*place];
-            held.is_up && held.serves && self.now >= held.frozen_until
+            let model_box = &self.boxes[*place];
+            model_box.is_up && model_box.serves && self.now >= model_box.frozen_until
         });
         probe.set_boxes(serving.map(limit_box).collect(), 0);
-        let news = LimitNews {
+        let update = LimitNews {
             life: life(),
             limit: UpstreamLimit::try_from(1.0).ok(),
             is_first: true,
-            is_from_keeper: true,
+            is_from_coordinator: true,
         };
-        probe.hear_news(&news, 1);
+        probe.hear_news(&update, 1);
         match probe.admit(&life(), &Zone::new(HOME_ZONE), 1, 0.5, 1) {
             LimitAdmission::Ask(asked) => place_of(asked.address),
-            other => panic!("nobody to ask: {other:?}"),
+            other => panic!("no coordinator to ask: {other:?}"),
         }
     }
 
-    fn strike(&mut self, step: usize) {
+    fn inject_fault(&mut self, step: usize) {
         match (self.case.fault, step) {
-            (Fault::KeepersDie, 0 | 1) => {
-                let keeper = self.keeper();
-                self.boxes[keeper].is_up = false;
-                self.members_change(300);
+            (Fault::CoordinatorsDie, 0 | 1) => {
+                let coordinator = self.coordinator();
+                self.boxes[coordinator].is_up = false;
+                self.schedule_membership_updates(300);
             }
-            (Fault::KeeperFreezes, 0) => {
-                let keeper = self.keeper();
+            (Fault::CoordinatorFreezes, 0) => {
+                let coordinator = self.coordinator();
                 let until = self.now + 3_000;
-                self.boxes[keeper].frozen_until = until;
-                self.boxes[keeper].is_excused = true;
-                self.members_change(300);
-                self.schedule(until, Event::Wakes { at_box: keeper });
+                self.boxes[coordinator].frozen_until = until;
+                self.boxes[coordinator].is_excused = true;
+                self.schedule_membership_updates(300);
+                self.schedule(until, Event::Wakes { at_box: coordinator });
             }
-            (Fault::KeeperLeaves, 0) => {
-                let keeper = self.keeper();
-                self.boxes[keeper].serves = false;
-                self.members_change(5);
+            (Fault::CoordinatorLeaves, 0) => {
+                let coordinator = self.coordinator();
+                self.boxes[coordinator].serves = false;
+                self.schedule_membership_updates(5);
             }
-            (Fault::KeeperStarts, 0) => {
-                for held in &mut self.boxes {
-                    held.serves = true;
+            (Fault::CoordinatorStarts, 0) => {
+                for model_box in &mut self.boxes {
+                    model_box.serves = true;
                 }
-                self.members_change(5);
+                self.schedule_membership_updates(5);
             }
             (Fault::AllRestart, place) if place < self.boxes.len() => {
                 self.restart(place);
-                self.take_members(place);
+                self.update_membership(place);
             }
             (Fault::AllKilled, 0) => {
                 for place in 0..self.boxes.len() {
@@ -371,30 +374,30 @@
                     let alone = vec![limit_box(place)];
                     self.boxes[place].limits.set_boxes(alone, self.now);
                 }
-                self.members_change(5);
+                self.schedule_membership_updates(5);
             }
             (Fault::Cut, 0) => {
                 self.is_cut = true;
-                for held in &mut self.boxes {
-                    held.is_excused = held.side == 1;
+                for model_box in &mut self.boxes {
+                    model_box.is_excused = model_box.side == 1;
                 }
-                self.members_change(300);
+                self.schedule_membership_updates(300);
             }
             (Fault::Disagreement, 0) => {
-                self.thought_dead = Some(self.keeper());
-                self.members_change(300);
+                self.presumed_dead = Some(self.coordinator());
+                self.schedule_membership_updates(300);
             }
             (Fault::Disagreements, 0 | 15) => {
-                self.thought_dead = Some(self.keeper());
-                self.members_change(300);
+                self.presumed_dead = Some(self.coordinator());
+                self.schedule_membership_updates(300);
             }
             (Fault::Disagreement, 7) | (Fault::Disagreements, 3 | 18) => {
-                self.thought_dead = None;
-                self.members_change(5);
+                self.presumed_dead = None;
+                self.schedule_membership_updates(5);
             }
             (Fault::Cut, 6) => {
                 self.is_cut = false;
-                self.members_change(5);
+                self.schedule_membership_updates(5);
             }
             _ => {}
         }
@@ -405,15 +408,15 @@
             Fault::Disagreements => 15_000,
             _ => 0,
         };
-        STRUCK_AT + last_strike + AFTER_FAULT
+        FAULT_AT_MS + last_strike + AFTER_FAULT_MS
     }
 
     fn restart(&mut self, place: usize) {
-        let held = &mut self.boxes[place];
-        held.limits = UpstreamLimits::new(id_of(place), regions());
-        held.told_at = None;
-        held.waits_for.clear();
-        held.held_off_until = 0;
+        let model_box = &mut self.boxes[place];
+        model_box.limits = UpstreamLimits::new(id_of(place), regions());
+        model_box.learned_at = None;
+        model_box.pending.clear();
+        model_box.hold_off_until = 0;
     }
 
     fn run(&mut self) {
@@ -422,20 +425,21 @@
                 return;
             }
             self.now = next.at;
-            if self.now >= NAMED_AT && self.limit.is_none() {
+            if self.now >= DECLARED_AT_MS && self.limit.is_none() {
                 self.limit = UpstreamLimit::try_from(self.case.limit).ok();
             }
             self.step(next.event);
         }
     }
 
-    /// When a box that is frozen handles what came meanwhile.
-    fn is_away(&mut self, at_box: usize, event: Event) -> Option<Event> {
-        let held = &self.boxes[at_box];
-        if !held.is_up {
+    /// Returns the event, unless the box is dead or frozen; a frozen box handles it when it
+    /// resumes.
+    fn defer_if_frozen(&mut self, at_box: usize, event: Event) -> Option<Event> {
+        let model_box = &self.boxes[at_box];
+        if !model_box.is_up {
             return None;
         }
-        let until = held.frozen_until;
+        let until = model_box.frozen_until;
         if self.now < until {
             self.schedule(until, event);
             return None;
@@ -445,14 +449,14 @@
 
     fn step(&mut self, event: Event) {
         let at_box = match &event {
-            Event::Arrives { at_box } | Event::Unheard { at_box, .. } => *at_box,
-            Event::Members { at_box } | Event::Wakes { at_box } => *at_box,
-            Event::Question { to, .. } | Event::Word { to, .. } => *to,
-            Event::News { to, .. } | Event::Answers { to, .. } => *to,
+            Event::Arrives { at_box } | Event::ReplyTimeout { at_box, .. } => *at_box,
+            Event::UpdateMembership { at_box } | Event::Wakes { at_box } => *at_box,
+            Event::Query { to, .. } | Event::Reply { to, .. } => *to,
+            Event::Update { to, .. } | Event::Answers { to, .. } => *to,
             Event::Reaches { from, had_grant } => return self.reach(*from, *had_grant),
-            Event::Strike { step } => return self.strike(*step),
+            Event::InjectFault { step } => return self.inject_fault(*step),
         };
-        if let Some(event) = self.is_away(at_box, event) {
+        if let Some(event) = self.defer_if_frozen(at_box, event) {
             self.step_at(at_box, event);
         }
     }
@@ -464,34 +468,34 @@
                 self.next_arrival(at_box);
                 self.arrive(at_box);
             }
-            Event::Question { from, question, .. } => {
-                let word = self.boxes[at_box].limits.hear_question(&question, now);
-                if word.is_granted {
+            Event::Query { from, question, .. } => {
+                let reply = self.boxes[at_box].limits.hear_question(&question, now);
+                if reply.is_granted {
                     self.granted.push(now);
                 }
-                self.send(at_box, from, Event::Word { to: from, word });
+                self.send(at_box, from, Event::Reply { to: from, reply });
             }
-            Event::Word { word, .. } => {
-                if self.stops_waiting(at_box, word.id) {
+            Event::Reply { reply, .. } => {
+                if self.take_pending(at_box, reply.id) {
                     let random = self.random.random();
-                    self.decide(at_box, UpstreamLimits::answered(Some(&word), random));
+                    self.decide(at_box, UpstreamLimits::answered(Some(&reply), random));
                 }
             }
-            Event::Unheard { id, .. } => {
-                if self.stops_waiting(at_box, id) {
+            Event::ReplyTimeout { id, .. } => {
+                if self.take_pending(at_box, id) {
                     let random = self.random.random();
                     self.decide(at_box, UpstreamLimits::answered(None, random));
                 }
             }
-            Event::News { news, .. } => {
-                self.boxes[at_box].limits.hear_news(&news, now);
-                self.send_news(at_box);
+            Event::Update { update, .. } => {
+                self.boxes[at_box].limits.hear_news(&update, now);
+                self.send_updates(at_box);
             }
             Event::Answers {
                 had_grant, limit, ..
             } => {
                 if limit.is_some() {
-                    self.boxes[at_box].told_at.get_or_insert(now);
+                    self.boxes[at_box].learned_at.get_or_insert(now);
                 }
                 let (life, zone) = (life(), Zone::new(HOME_ZONE));
                 let answer = LimitAnswer {
@@ -501,30 +505,30 @@
                     had_grant,
                 };
                 self.boxes[at_box].limits.named(&answer, now);
-                self.send_news(at_box);
+                self.send_updates(at_box);
             }
-            Event::Members { .. } => self.take_members(at_box),
-            Event::Wakes { .. } => self.members_change(5),
-            Event::Reaches { .. } | Event::Strike { .. } => {}
+            Event::UpdateMembership { .. } => self.update_membership(at_box),
+            Event::Wakes { .. } => self.schedule_membership_updates(5),
+            Event::Reaches { .. } | Event::InjectFault { .. } => {}
         }
     }
 
-    fn stops_waiting(&mut self, at_box: usize, id: u64) -> bool {
-        let waits_for = &mut self.boxes[at_box].waits_for;
-        let before = waits_for.len();
-        waits_for.retain(|held| *held != id);
-        waits_for.len() < before
+    fn take_pending(&mut self, at_box: usize, id: u64) -> bool {
+        let pending = &mut self.boxes[at_box].pending;
+        let before = pending.len();
+        pending.retain(|pending| *pending != id);
+        pending.len() < before
     }
 
-    fn send_news(&mut self, from: usize) {
-        for (to, news) in self.boxes[from].limits.take_news() {
+    fn send_updates(&mut self, from: usize) {
+        for (to, update) in self.boxes[from].limits.take_news() {
             let to = place_of(to);
-            self.send(from, to, Event::News { to, news });
+            self.send(from, to, Event::Update { to, update });
         }
     }
 
     fn arrive(&mut self, at_box: usize) {
-        if self.now < self.boxes[at_box].held_off_until {
+        if self.now < self.boxes[at_box].hold_off_until {
             return;
         }
         let (id, random): (u64, f64) = (self.random.random(), self.random.random());
@@ -538,28 +542,28 @@
             }
             return self.decide(at_box, admission);
         };
-        self.boxes[at_box].waits_for.push(id);
+        self.boxes[at_box].pending.push(id);
         let to = place_of(asked.address);
         let question = asked.question;
         self.send(
             at_box,
             to,
-            Event::Question {
+            Event::Query {
                 to,
                 from: at_box,
                 question,
             },
         );
-        self.schedule(now + ANSWER_WAIT, Event::Unheard { at_box, id });
+        self.schedule(now + REPLY_TIMEOUT_MS, Event::ReplyTimeout { at_box, id });
     }
 
     fn decide(&mut self, at_box: usize, admission: LimitAdmission) {
         match admission {
             LimitAdmission::Unlimited | LimitAdmission::Granted => {
-                let way = self.random.random_range(1..=60);
+                let delay_ms = self.random.random_range(1..=60);
                 let had_grant = admission == LimitAdmission::Granted;
                 self.schedule(
-                    self.now + way,
+                    self.now + delay_ms,
                     Event::Reaches {
                         from: at_box,
                         had_grant,
@@ -567,23 +571,23 @@
                 );
             }
             LimitAdmission::Refused(refusal) => {
-                self.boxes[at_box].held_off_until = self.now + refusal.hold_off_ms;
+                self.boxes[at_box].hold_off_until = self.now + refusal.hold_off_ms;
             }
-            LimitAdmission::Ask(_) => panic!("it was asked already"),
+            LimitAdmission::Ask(_) => panic!("the coordinator was asked already"),
         }
     }
 
     fn reach(&mut self, from: usize, had_grant: bool) {
-        let held = &self.boxes[from];
-        let is_told = held.told_at.is_some_and(|at| at + 500 <= self.now);
-        if is_told && !held.is_excused {
+        let model_box = &self.boxes[from];
+        let knows_limit = model_box.learned_at.is_some_and(|at| at + 500 <= self.now);
+        if knows_limit && !model_box.is_excused {
             self.counted.push(self.now);
         }
-        // Each answer names a little less, so that boxes tell of changes all the time.
+        // Each response declares a slightly lower limit, so that boxes send updates all the time.
         let less = 1.0 - self.random.random::<f64>() / 10.0;
-        let limit = self.limit.map(|named| limit(named.per_s() * less));
-        let way = self.random.random_range(1..=60);
-        let at = self.now + WORK + way;
+        let limit = self.limit.map(|declared| limit(declared.per_s() * less));
+        let delay_ms = self.random.random_range(1..=60);
+        let at = self.now + WORK_MS + delay_ms;
         self.schedule(
             at,
             Event::Answers {
@@ -594,40 +598,41 @@
         );
     }
 
-    /// Requests a second that were granted once all kept the limit.
+    /// Returns the granted requests per second, from when all boxes have to enforce the limit.
     fn granted_per_s(&self) -> f64 {
-        let from = NAMED_AT + LEARNED_WITHIN;
+        let from = DECLARED_AT_MS + LEARNED_WITHIN_MS;
         let later = self.granted.iter().filter(|at| **at >= from);
         later.count() as f64 * 1_000.0 / (self.end() - from) as f64
     }
 
-    /// The most counted requests in one span, from when all have to keep the limit.
-    fn most(&self) -> usize {
+    /// Returns the largest number of counted requests in one span, from when all boxes have to
+    /// enforce the limit.
+    fn max_in_window(&self) -> usize {
         let counted = self.counted.iter();
-        let begins = counted.filter(|at| **at >= NAMED_AT + LEARNED_WITHIN);
+        let begins = counted.filter(|at| **at >= DECLARED_AT_MS + LEARNED_WITHIN_MS);
         let in_window = |begin: &Millis| {
             let in_span = self.counted.iter().filter(|at| *at >= begin);
-            in_span.filter(|at| **at < begin + WINDOW).count()
+            in_span.filter(|at| **at < begin + WINDOW_MS).count()
         };
         begins.map(in_window).max().unwrap_or(0)
     }
 }
 
 fn check(case: Case, seeds: std::ops::Range<u64>) {
-    let allowed = case.limit * WINDOW as f64 / 1_000.0 * 1.5 + 5.0;
+    let allowed = case.limit * WINDOW_MS as f64 / 1_000.0 * 1.5 + 5.0;
     for seed in seeds {
         let mut model = Model::new(case, seed);
         model.run();
-        let most = model.most();
+        let max_in_window = model.max_in_window();
         assert!(
-            most as f64 <= allowed,
-            "{case:?}, seed {seed}: {most} requests in {WINDOW} ms, of {allowed}"
+            max_in_window as f64 <= allowed,
+            "{case:?}, seed {seed}: {max_in_window} requests in {WINDOW_MS} ms, of {allowed} allowed"
         );
         if case.fault == Fault::None {
             let used = model.granted_per_s();
             assert!(
                 used >= case.limit * 0.5,
-                "{case:?}, seed {seed}: only {used:.2} a second were granted"
+                "{case:?}, seed {seed}: only {used:.2} requests per second were granted"
             );
         }
     }
@@ -635,10 +640,10 @@
 
 const FAULTS: [Fault; 10] = [
     Fault::None,
-    Fault::KeepersDie,
-    Fault::KeeperFreezes,
-    Fault::KeeperLeaves,
-    Fault::KeeperStarts,
+    Fault::CoordinatorsDie,
+    Fault::CoordinatorFreezes,
+    Fault::CoordinatorLeaves,
+    Fault::CoordinatorStarts,
     Fault::AllRestart,
     Fault::AllKilled,
     Fault::Cut,
@@ -649,9 +654,9 @@
 fn check_all(seeds: std::ops::Range<u64>) {
     for boxes in [7, 12, 75] {
         for limit in [0.0, 0.5, 5.9, 50.0] {
-            for pressed in [2.0, 6.0, 20.0] {
+            for pressure in [2.0, 6.0, 20.0] {
                 for fault in FAULTS {
-                    let wanted = f64::max(limit * pressed, 10.0);
+                    let wanted = f64::max(limit * pressure, 10.0);
                     let case = Case {
                         boxes,
                         limit,
@@ -677,7 +682,7 @@
     check_all(100..400);
 }
 
-/// A box that knows of two others besides itself, `box-1` the keeper of the upstream's limit.
+/// Returns a box that knows two others; `box-1` is the coordinator of the upstream's limit.
 fn box_among(place: usize) -> UpstreamLimits {
     let mut limits = UpstreamLimits::new(id_of(place), regions());
     let boxes = (0..3).map(|place| LimitBox {
@@ -693,8 +698,8 @@
     UpstreamLimit::try_from(per_s).unwrap()
 }
 
-/// Takes an answer that names `limit`; the messages that follow, with who gets them.
-fn answered(
+/// Handles a response with `limit`, and returns the resulting messages with their receivers.
+fn observe(
     limits: &mut UpstreamLimits,
     limit: Option<UpstreamLimit>,
     had_grant: bool,
@@ -707,76 +712,77 @@
         had_grant,
     };
     limits.named(&answer, 1);
-    let news = limits.take_news().into_iter();
-    news.map(|(to, news)| (place_of(to), news)).collect()
+    let updates = limits.take_news().into_iter();
+    updates.map(|(to, update)| (place_of(to), update)).collect()
 }
 
 #[test]
-fn the_keeper_tells_all_boxes_of_a_limit_and_of_its_end() {
-    let (mut first, mut keeper, mut other) = (box_among(0), box_among(1), box_among(2));
-    for named in [Some(limit(9.0)), None] {
-        let told = answered(&mut first, named, true);
-        assert_eq!(told.len(), 1);
-        assert_eq!(told[0].0, 1, "the keeper is told");
-        keeper.hear_news(&told[0].1, 2);
-        let told: Vec<(SocketAddr, LimitNews)> = keeper.take_news();
-        let to: Vec<usize> = told.iter().map(|(to, _)| place_of(*to)).collect();
+fn the_coordinator_broadcasts_a_limit_and_its_end() {
+    let (mut first, mut coordinator, mut other) = (box_among(0), box_among(1), box_among(2));
+    for declared in [Some(limit(9.0)), None] {
+        let messages = observe(&mut first, declared, true);
+        assert_eq!(messages.len(), 1);
+        assert_eq!(messages[0].0, 1, "the update goes to the coordinator");
+        coordinator.hear_news(&messages[0].1, 2);
+        let messages: Vec<(SocketAddr, LimitNews)> = coordinator.take_news();
+        let to: Vec<usize> = messages.iter().map(|(to, _)| place_of(*to)).collect();
         assert_eq!(to, [0, 2]);
-        other.hear_news(&told[1].1, 3);
-        for limits in [&first, &keeper, &other] {
-            assert_eq!(limits.limit(&life()), named);
+        other.hear_news(&messages[1].1, 3);
+        for limits in [&first, &coordinator, &other] {
+            assert_eq!(limits.limit(&life()), declared);
         }
-        assert!(other.take_news().is_empty(), "who is told tells nobody");
+        assert!(other.take_news().is_empty(), "a box that receives a broadcast sends nothing");
     }
 }
 
 #[test]
 fn only_an_answer_to_a_granted_request_ends_a_limit() {
     let mut limits = box_among(0);
-    answered(&mut limits, Some(limit(9.0)), false);
-    // The upstream may have made this one before it named its limit.
-    assert!(answered(&mut limits, None, false).is_empty());
+    observe(&mut limits, Some(limit(9.0)), false);
+    // The upstream may have made this response before it declared its limit.
+    assert!(observe(&mut limits, None, false).is_empty());
     assert_eq!(limits.limit(&life()), Some(limit(9.0)));
-    answered(&mut limits, None, true);
+    observe(&mut limits, None, true);
     assert_eq!(limits.limit(&life()), None);
 }
 
 #[test]
 fn a_box_that_missed_a_limits_end_sends_once_more_and_learns_it() {
-    let (mut missed, mut keeper) = (box_among(0), box_among(1));
-    answered(&mut missed, Some(limit(9.0)), false);
+    let (mut missed, mut coordinator) = (box_among(0), box_among(1));
+    observe(&mut missed, Some(limit(9.0)), false);
     let zone = Zone::new(HOME_ZONE);
-    // The keeper knows of none and goes by the question; it grants as time goes on.
+    // The coordinator knows no limit and uses the one in the query; it grants requests as its
+    // bucket fills.
     let granted = (0..20).find_map(|step| {
         let now = 1_000 + step * 100;
         let LimitAdmission::Ask(asked) = missed.admit(&life(), &zone, step, 0.5, now) else {
-            panic!("the box knows of a limit and asks");
+            panic!("a box that knows of a limit asks the coordinator");
         };
-        let word = keeper.hear_question(&asked.question, now);
-        (UpstreamLimits::answered(Some(&word), 0.5) == LimitAdmission::Granted).then_some(now)
+        let reply = coordinator.hear_question(&asked.question, now);
+        (UpstreamLimits::answered(Some(&reply), 0.5) == LimitAdmission::Granted).then_some(now)
     });
     assert!(granted.is_some());
-    let told = answered(&mut missed, None, true);
-    keeper.hear_news(&told[0].1, 5_000);
+    let messages = observe(&mut missed, None, true);
+    coordinator.hear_news(&messages[0].1, 5_000);
     assert_eq!(missed.limit(&life()), None);
-    assert_eq!(keeper.limit(&life()), None);
+    assert_eq!(coordinator.limit(&life()), None);
 }
 
 #[test]
 fn another_life_of_the_upstream_names_its_own_limit() {
     let mut limits = box_among(0);
-    answered(&mut limits, Some(limit(9.0)), false);
+    observe(&mut limits, Some(limit(9.0)), false);
     let next = UpstreamLife {
         started: Some(UpstreamStart(2)),
         ..life()
     };
     assert_eq!(limits.limit(&next), None);
-    limits.retain(|held| *held == next);
+    limits.retain(|life| *life == next);
     assert_eq!(limits.limit(&life()), None);
 }
 
 #[test]
-fn what_is_no_limit_is_refused() {
+fn an_invalid_limit_is_refused() {
     for text in ["-1", "NaN", "inf", "1e400", "9/s", "", "0x9"] {
         assert!(text.parse::<UpstreamLimit>().is_err(), "{text}");
     }
@@ -784,12 +790,12 @@
     for (text, per_s) in [("0", 0.0), ("0.5", 0.5), ("120", 120.0)] {
         assert_eq!(text.parse::<UpstreamLimit>().unwrap(), limit(per_s));
     }
-    let heard = UpstreamLimit::try_from(-1.0);
-    assert!(heard.is_err(), "nor is it taken from another box");
+    let received = UpstreamLimit::try_from(-1.0);
+    assert!(received.is_err(), "nor is it accepted from another box");
 }
 
 #[test]
-fn a_grant_that_is_lost_on_its_way_is_all_that_a_limit_loses() {
+fn a_lost_reply_costs_only_its_grant() {
     let case = Case {
         boxes: 7,
         limit: 0.5,
