--- a/crates/routing/src/quarantine/message.rs
+++ b/crates/routing/src/quarantine/message.rs
@@ -1,94 +1,94 @@
-//! What boxes tell each other of requests under which upstreams ended.
+//! Messages between boxes about requests under which upstreams ended.
 
-use super::record::{MOST_RUNS, Suspect};
+use super::record::{MAX_CRASHES, Suspect};
 use crate::request_digest::RequestDigest;
 use crate::upstream::UpstreamStart;
 use brasswinch_types::{Millis, UpstreamId};
 use serde::{Deserialize, Serialize};
 
-/// Longest time that a report may look back: more than any run is remembered.
-const LONGEST_AGO_MS: Millis = 7_200_000;
+/// Largest age of an event in a report, in milliseconds: longer than any crash is kept.
+const MAX_AGE_MS: Millis = 7_200_000;
 
-/// A broken run as it is told: in spans, since no two boxes' clocks agree.
+/// A crash in a report. Its times are relative, since the clocks of boxes differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ToldRun {
     /// The upstream.
     #[serde(rename = "u")]
     pub upstream: UpstreamId,
-    /// Which of its lives.
+    /// The instance of the upstream.
     #[serde(rename = "l")]
     pub started: Option<UpstreamStart>,
-    /// How long ago the request was sent, in milliseconds.
+    /// Time since the request was sent, in milliseconds.
     #[serde(rename = "b")]
     pub began_ago_ms: Millis,
-    /// How long ago the connection broke.
+    /// Time since the connection broke, in milliseconds.
     #[serde(rename = "e")]
     pub ended_ago_ms: Millis,
 }
 
-/// All that a box knows of a request.
+/// A box's full record of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunReport {
     /// The request.
     #[serde(rename = "d")]
     pub digest: RequestDigest,
-    /// Whose it is.
+    /// What identifies the request without its digest, and its service.
     #[serde(rename = "s")]
     pub suspect: Suspect,
-    /// Its broken runs, oldest first.
+    /// Its crashes, oldest first.
     #[serde(rename = "r")]
     pub runs: Vec<ToldRun>,
-    /// How long ago one of its runs was answered, in milliseconds; `None` if never.
+    /// Time since one of its attempts was last answered, in milliseconds; `None` if never.
     #[serde(rename = "a")]
     pub answered_ago_ms: Option<Millis>,
 }
 
-/// Why a report can't be true.
+/// The reason why a report can't be true.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// It tells of nothing.
-    #[error("a report of no run")]
+    /// It contains no event.
+    #[error("the report contains neither a crash nor an answer")]
     Empty,
-    /// It has more runs than are ever kept.
-    #[error("{0} broken runs of one request")]
-    TooManyRuns(usize),
-    /// A run ended before it began.
-    #[error("a run that ended before it began")]
-    Backwards,
-    /// It looks back further than anything is remembered.
-    #[error("something that happened {0} ms ago")]
-    TooLongAgo(Millis),
+    /// It contains more crashes than are ever kept.
+    #[error("the report contains {0} crashes, more than are ever kept")]
+    TooManyCrashes(usize),
+    /// An attempt ended before it began.
+    #[error("an attempt ended before it began")]
+    EndedBeforeBegin,
+    /// It contains an event older than any that is kept.
+    #[error("the report contains an event from {0} ms ago, which is too old")]
+    TooOld(Millis),
 }
 
 impl RunReport {
-    /// The same, told `by_ms` later.
-    pub(super) fn grow_older(&mut self, by_ms: Millis) {
-        for run in &mut self.runs {
-            run.began_ago_ms += by_ms;
-            run.ended_ago_ms += by_ms;
+    /// Adds `by_ms` to the age of each event.
+    pub(super) fn age_by(&mut self, by_ms: Millis) {
+        for crash in &mut self.runs {
+            crash.began_ago_ms += by_ms;
+            crash.ended_ago_ms += by_ms;
         }
         self.answered_ago_ms = self.answered_ago_ms.map(|ago_ms| ago_ms + by_ms);
     }
 
-    /// Whether it can be true.
+    /// Checks whether the report can be true.
     pub(super) fn check(&self) -> Result<(), ReportError> {
         if self.runs.is_empty() && self.answered_ago_ms.is_none() {
             return Err(ReportError::Empty);
         }
-        if self.runs.len() > MOST_RUNS {
-            return Err(ReportError::TooManyRuns(self.runs.len()));
+        if self.runs.len() > MAX_CRASHES {
+            return Err(ReportError::TooManyCrashes(self.runs.len()));
         }
         if self
             .runs
             .iter()
-            .any(|run| run.began_ago_ms < run.ended_ago_ms)
+            .any(|crash| crash.began_ago_ms < crash.ended_ago_ms)
         {
-            return Err(ReportError::Backwards);
+            return Err(ReportError::EndedBeforeBegin);
         }
-        let began = self.runs.iter().map(|run| run.began_ago_ms);
+        let began = self.runs.iter().map(|crash| crash.began_ago_ms);
         let longest = began.chain(self.answered_ago_ms).max().unwrap_or(0);
-        if longest > LONGEST_AGO_MS {
-            return Err(ReportError::TooLongAgo(longest));
+        if longest > MAX_AGE_MS {
+            return Err(ReportError::TooOld(longest));
         }
         Ok(())
     }
--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -1,125 +1,128 @@
-//! Holds back requests under which upstreams end.
+//! Quarantines requests that crash upstreams.
 //!
-//! A run that ends with its upstream's connection is told to the request's counters, two
-//! boxes by rendezvous on its digest. After [`RUNS_TO_SUSPECT`] such runs, one after another and
-//! none answered, they tell all boxes: the request goes where its own digest says, away from
-//! others about the same object, and each box tells when one of its runs is answered. After
-//! [`RUNS_TO_SHUT_OUT`] it is shut out. What boxes tell each other are the runs themselves, so
-//! that all come to the same verdict in whatever order they hear.
+//! A crash here is an attempt whose connection to the upstream broke without a response. The box
+//! that sees it reports it to the request's coordinators, two boxes chosen by rendezvous hashing
+//! on the request's digest. After [`CRASHES_TO_SUSPECT`] crashes, one after another with no
+//! answered attempt in between, they tell all boxes that the request is suspected. It is then
+//! placed by its own digest, apart from other requests for the same object, and each box reports
+//! when an attempt is answered. After [`CRASHES_TO_QUARANTINE`] crashes the request is
+//! quarantined. Boxes exchange the crashes themselves, so that all reach the same verdict in
+//! whatever order reports arrive.
 
 mod message;
 mod record;
 mod status;
-mod teller;
+mod sender;
 
 pub use message::{ReportError, RunReport, ToldRun};
 pub use record::{BrokenRun, Suspect, Verdict};
 pub use status::ShutOutStatus;
-pub use teller::QuarantineBox;
+pub use sender::QuarantineBox;
 
 use crate::request_digest::{RequestDigest, RequestShape};
 use brasswinch_types::{BoxId, Millis, Workspace};
 use record::{Level, Record};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
-use teller::Teller;
+use sender::ReportSender;
 
-/// Broken runs, one after another, from which a request is suspected. One happens to every
-/// request at an upstream that ends; a second one, at another, seldom does.
-const RUNS_TO_SUSPECT: usize = 2;
+/// Number of sequential crashes from which a request is suspected. Any request may be running when
+/// its upstream ends; a second crash at another upstream is rare.
+const CRASHES_TO_SUSPECT: usize = 2;
 
-/// Broken runs, one after another, from which it is shut out: what the platform allows.
-const RUNS_TO_SHUT_OUT: usize = 3;
+/// Number of sequential crashes from which a request is quarantined: as many as the platform
+/// allows.
+const CRASHES_TO_QUARANTINE: usize = 3;
 
-/// Most requests that are remembered, some 300 bytes each.
-const MOST_REQUESTS: usize = 4_096;
+/// Most requests on record, some 300 bytes each.
+const MAX_REQUESTS: usize = 4_096;
 
-/// Most of one workspace, so that none pushes out what is known of others' requests.
-const MOST_OF_A_WORKSPACE: usize = 512;
+/// Most requests of one workspace on record, so that no workspace displaces the records of others.
+const MAX_REQUESTS_PER_WORKSPACE: usize = 512;
 
-/// What became of what is known of a request.
+/// A change in what is known of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// Upstreams ended under it twice, one after the other.
+    /// Upstreams ended under it twice in sequence.
     Suspected,
-    /// It is held back.
+    /// It is quarantined.
     ShutOut,
-    /// One of its runs was answered.
+    /// One of its attempts was answered.
     Cleared,
-    /// Its time is over; one more broken run shuts it out again.
+    /// Its quarantine has expired; one more crash quarantines it again.
     LetOut,
 }
 
-/// A change, for the log.
+/// A change to be logged.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QuarantineNews {
     /// The request.
     pub digest: RequestDigest,
     /// Its service and workspace.
     pub suspect: Suspect,
-    /// What became of it.
+    /// The change.
     pub change: QuarantineChange,
-    /// The runs that decided it.
+    /// The crashes that led to it.
     pub runs: Vec<BrokenRun>,
 }
 
-/// What one box knows of requests under which upstreams ended.
+/// One box's records of requests under which upstreams ended.
 #[derive(Debug)]
 pub struct Quarantine {
     records: BTreeMap<RequestDigest, Record>,
-    /// Of all records; may hold some of records that are gone.
+    /// Shapes of all records; may include shapes of removed records.
     shapes: HashSet<RequestShape>,
-    teller: Teller,
-    /// Requests that this box counts and that were shut out.
+    sender: ReportSender,
+    /// Newly quarantined requests that this box coordinates.
     unconfirmed: Vec<RequestDigest>,
-    news: Vec<QuarantineNews>,
+    events: Vec<QuarantineNews>,
 }
 
 impl Quarantine {
-    /// Nothing is known.
+    /// Creates an empty state of the box `me`.
     pub fn new(me: BoxId) -> Self {
         Self {
             records: BTreeMap::new(),
             shapes: HashSet::new(),
-            teller: Teller::new(me),
+            sender: ReportSender::new(me),
             unconfirmed: Vec::new(),
-            news: Vec::new(),
+            events: Vec::new(),
         }
     }
 
-    /// Whether something may be known of a request of this shape.
+    /// Whether a request of this shape may be on record.
     pub fn may_know(&self, shape: RequestShape) -> bool {
         self.shapes.contains(&shape)
     }
 
-    /// What is known of a request.
+    /// Returns the verdict on a request.
     pub fn verdict(&self, digest: RequestDigest, now: Millis) -> Verdict {
         let record = self.records.get(&digest);
         record.map_or(Verdict::Unknown, |record| record.verdict(now))
     }
 
-    /// An upstream ended under the request at this box.
-    pub fn broke(&mut self, digest: RequestDigest, suspect: &Suspect, run: BrokenRun, now: Millis) {
-        self.record(digest, suspect).add_run(run);
-        self.changed(digest, true, now);
+    /// Records that an upstream ended under the request at this box.
+    pub fn broke(&mut self, digest: RequestDigest, suspect: &Suspect, crash: BrokenRun, now: Millis) {
+        self.record(digest, suspect).add_crash(crash);
+        self.publish_change(digest, true, now);
     }
 
-    /// An upstream answered the request at this box: it did not end under it.
+    /// Records that an upstream answered the request at this box.
     pub fn answered(&mut self, digest: RequestDigest, now: Millis) {
         let Some(record) = self.records.get_mut(&digest) else {
             return;
         };
         if record.answered(now) {
-            self.changed(digest, true, now);
+            self.publish_change(digest, true, now);
         }
     }
 
-    /// Takes the word of the box at `from`, and tells it what it doesn't know: it may have
-    /// been frozen, or cut off, while others were told.
+    /// Handles a report of the box at `from`, and replies with the crashes that it doesn't know:
+    /// it may have been frozen or cut off when others were informed.
     ///
     /// # Errors
     ///
-    /// Refuses a report that can't be true; nothing of it is taken.
+    /// Returns an error if the report can't be true; nothing of it is recorded.
     pub fn hear(
         &mut self,
         report: &RunReport,
@@ -130,89 +133,89 @@
         let digest = report.digest;
         let record = self.record(digest, &report.suspect);
         let is_changed = record.merge(report, now);
-        let knows_less = report.runs.len() < record.runs().len();
-        if knows_less && record.level(now) >= Level::LetOut {
-            let whole = record.report(digest, now);
-            self.teller.answer(from, whole, now);
+        let lacks_crashes = report.runs.len() < record.runs().len();
+        if lacks_crashes && record.level(now) >= Level::LetOut {
+            let full_report = record.report(digest, now);
+            self.sender.reply(from, full_report, now);
         }
         if is_changed {
-            self.changed(digest, false, now);
+            self.publish_change(digest, false, now);
         }
         Ok(())
     }
 
-    /// Takes what the platform's store holds, and tells all boxes what is new in it.
+    /// Merges a report from the platform's store, and informs all boxes of what is new in it.
     ///
     /// # Errors
     ///
-    /// Refuses a report that can't be true; nothing of it is taken.
+    /// Returns an error if the report can't be true; nothing of it is recorded.
     pub fn confirmed(&mut self, report: &RunReport, now: Millis) -> Result<(), ReportError> {
         report.check()?;
         let record = self.record(report.digest, &report.suspect);
         if record.merge(report, now) {
-            self.changed(report.digest, true, now);
+            self.publish_change(report.digest, true, now);
         }
         Ok(())
     }
 
-    /// Requests that were shut out since the last time and that this box has to confirm in the
-    /// platform's store, each with how long.
+    /// Takes the newly quarantined requests that this box has to write to the platform's store,
+    /// each with the remaining time of its quarantine, in milliseconds.
     pub fn take_unconfirmed(&mut self, now: Millis) -> Vec<(RunReport, Millis)> {
         let unconfirmed = std::mem::take(&mut self.unconfirmed);
-        let shut_out = unconfirmed.into_iter().filter_map(|digest| {
+        let quarantined = unconfirmed.into_iter().filter_map(|digest| {
             let record = self.records.get(&digest)?;
             match record.verdict(now) {
                 Verdict::ShutOut { for_ms } => Some((record.report(digest, now), for_ms)),
                 _ => None,
             }
         });
-        shut_out.collect()
+        quarantined.collect()
     }
 
-    /// Takes the boxes that serve.
+    /// Sets the serving boxes, and informs new ones of suspected and quarantined requests.
     pub fn set_boxes(&mut self, boxes: Vec<QuarantineBox>, now: Millis) {
-        let newcomers = self.teller.set_boxes(boxes);
-        if newcomers.is_empty() {
+        let new_boxes = self.sender.set_boxes(boxes);
+        if new_boxes.is_empty() {
             return;
         }
-        let told_to_all = |record: &Record| record.level(now) >= Level::Suspected;
+        let was_broadcast = |record: &Record| record.level(now) >= Level::Suspected;
         for (digest, record) in &self.records {
-            if told_to_all(record) && self.teller.counts_beside(*digest, &newcomers) {
+            if was_broadcast(record) && self.sender.is_coordinator_without(*digest, &new_boxes) {
                 let report = record.report(*digest, now);
-                self.teller.tell(&newcomers, &report, now);
+                self.sender.send(&new_boxes, &report, now);
             }
         }
     }
 
-    /// Looks at what time has changed.
+    /// Releases requests whose quarantine has expired, and removes expired records.
     pub fn tick(&mut self, now: Millis) {
-        let mut let_out = Vec::new();
+        let mut released = Vec::new();
         for (digest, record) in &mut self.records {
-            if record.seen_level(now) == Some(Level::LetOut) {
-                let_out.push(*digest);
+            if record.take_level_change(now) == Some(Level::LetOut) {
+                released.push(*digest);
             }
         }
-        for digest in let_out {
-            self.note(digest, QuarantineChange::LetOut);
+        for digest in released {
+            self.push_event(digest, QuarantineChange::LetOut);
         }
-        let held = self.records.len();
-        self.records.retain(|_, record| !record.is_over(now));
-        if self.records.len() != held {
-            self.recollect_shapes();
+        let count = self.records.len();
+        self.records.retain(|_, record| !record.is_expired(now));
+        if self.records.len() != count {
+            self.rebuild_shapes();
         }
     }
 
-    /// Reports to be sent now, each with where to.
+    /// Takes the reports to send now, each with its destination.
     pub fn take_reports(&mut self, now: Millis) -> Vec<(SocketAddr, RunReport)> {
-        self.teller.take(now)
+        self.sender.take(now)
     }
 
-    /// What changed since the last time.
+    /// Takes the changes since the last call.
     pub fn take_news(&mut self) -> Vec<QuarantineNews> {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.events)
     }
 
-    /// What operators see: requests that are suspected or shut out.
+    /// Returns the status of suspected and quarantined requests.
     pub fn status(&self, now: Millis) -> Vec<ShutOutStatus> {
         let known = self.records.iter();
         known
@@ -220,43 +223,43 @@
             .collect()
     }
 
-    fn recollect_shapes(&mut self) {
+    fn rebuild_shapes(&mut self) {
         let records = self.records.values();
         self.shapes = records.map(|record| record.suspect().shape).collect();
     }
 
-    /// Tells others of a change and notes it for the log.
-    fn changed(&mut self, digest: RequestDigest, is_mine: bool, now: Millis) {
+    /// Reports a change to other boxes and records an event for the log.
+    fn publish_change(&mut self, digest: RequestDigest, must_report: bool, now: Millis) {
         let Some(record) = self.records.get_mut(&digest) else {
             return;
         };
         let report = record.report(digest, now);
-        let change = match record.seen_level(now) {
+        let change = match record.take_level_change(now) {
             Some(Level::Suspected) => Some(QuarantineChange::Suspected),
             Some(Level::ShutOut) => Some(QuarantineChange::ShutOut),
             Some(Level::Clear) => Some(QuarantineChange::Cleared),
             _ => None,
         };
-        if is_mine {
-            self.teller.tell_counters(&report, now);
+        if must_report {
+            self.sender.send_to_coordinators(&report, now);
         }
         if let Some(change) = change {
-            let counts = self.teller.counts(digest);
-            if is_mine || counts {
-                self.teller.tell_all(&report, now);
+            let is_coordinator = self.sender.is_coordinator(digest);
+            if must_report || is_coordinator {
+                self.sender.broadcast(&report, now);
             }
-            if counts && change == QuarantineChange::ShutOut {
+            if is_coordinator && change == QuarantineChange::ShutOut {
                 self.unconfirmed.push(digest);
             }
-            self.note(digest, change);
+            self.push_event(digest, change);
         }
     }
 
-    fn note(&mut self, digest: RequestDigest, change: QuarantineChange) {
+    fn push_event(&mut self, digest: RequestDigest, change: QuarantineChange) {
         let Some(record) = self.records.get(&digest) else {
             return;
         };
-        self.news.push(QuarantineNews {
+        self.events.push(QuarantineNews {
             digest,
             suspect: record.suspect().clone(),
             change,
@@ -264,18 +267,19 @@
         });
     }
 
-    /// What is known of a request, from now on.
+    /// Returns the record of a request; creates it if there is none.
     fn record(&mut self, digest: RequestDigest, suspect: &Suspect) -> &mut Record {
-        self.make_room(digest, suspect);
+        self.evict_if_full(digest, suspect);
         self.shapes.insert(suspect.shape);
         let known = self.records.entry(digest);
         known.or_insert_with(|| Record::new(suspect.clone()))
     }
 
-    /// Forgets the request of least weight where there are too many: of the same workspace
-    /// where that has its part, else of the one that has most.
-    fn make_room(&mut self, digest: RequestDigest, suspect: &Suspect) {
-        if self.records.len() < MOST_OF_A_WORKSPACE || self.records.contains_key(&digest) {
+    /// Removes the record with the lowest priority if there are too many: one of the same
+    /// workspace if that has reached its maximum, otherwise one of the workspace with the most
+    /// records.
+    fn evict_if_full(&mut self, digest: RequestDigest, suspect: &Suspect) {
+        if self.records.len() < MAX_REQUESTS_PER_WORKSPACE || self.records.contains_key(&digest) {
             return;
         }
         let mut by_workspace: BTreeMap<Option<&Workspace>, usize> = BTreeMap::new();
@@ -284,10 +288,10 @@
             *by_workspace.entry(workspace).or_default() += 1;
         }
         let own = by_workspace.get(&suspect.workspace.as_ref());
-        let crowded = if own.is_some_and(|held| *held >= MOST_OF_A_WORKSPACE) {
+        let evict_from = if own.is_some_and(|count| *count >= MAX_REQUESTS_PER_WORKSPACE) {
             suspect.workspace.clone()
-        } else if self.records.len() >= MOST_REQUESTS {
-            let most = by_workspace.iter().max_by_key(|(_, held)| **held);
+        } else if self.records.len() >= MAX_REQUESTS {
+            let most = by_workspace.iter().max_by_key(|(_, count)| **count);
             most.and_then(|(workspace, _)| workspace.cloned())
         } else {
             return;
@@ -295,13 +299,13 @@
         let of_workspace = self
             .records
             .iter()
-            .filter(|(_, record)| record.suspect().workspace == crowded);
-        let least = of_workspace.min_by_key(|(_, record)| record.weight());
-        if let Some(least) = least.map(|(digest, _)| *digest) {
-            self.records.remove(&least);
+            .filter(|(_, record)| record.suspect().workspace == evict_from);
+        let lowest = of_workspace.min_by_key(|(_, record)| record.retention_priority());
+        if let Some(lowest) = lowest.map(|(digest, _)| *digest) {
+            self.records.remove(&lowest);
         }
-        if self.shapes.len() > 2 * MOST_REQUESTS {
-            self.recollect_shapes();
+        if self.shapes.len() > 2 * MAX_REQUESTS {
+            self.rebuild_shapes();
         }
     }
 }
--- a/crates/routing/src/quarantine/record.rs
+++ b/crates/routing/src/quarantine/record.rs
@@ -1,30 +1,30 @@
-//! What is known of one request: the runs under which upstreams ended, one after another.
+//! The record of one request: the crashes that occurred one after another.
 
 use super::message::{RunReport, ToldRun};
-use super::{RUNS_TO_SHUT_OUT, RUNS_TO_SUSPECT};
+use super::{CRASHES_TO_QUARANTINE, CRASHES_TO_SUSPECT};
 use crate::request_digest::{RequestDigest, RequestShape};
 use crate::upstream::UpstreamStart;
 use brasswinch_types::{Millis, Service, UpstreamId, Workspace};
 use serde::{Deserialize, Serialize};
 
-/// How long a request is shut out after the last run that broke; doubled by each run beyond
-/// those that shut it out.
-const SHUT_OUT_MS: Millis = 300_000;
+/// Duration of a quarantine, counted from the last crash; doubled by each crash beyond those that
+/// caused it.
+const QUARANTINE_MS: Millis = 300_000;
 
-/// Most such doublings: 40 minutes.
-const MOST_DOUBLINGS: usize = 3;
+/// Largest number of such doublings: 40 minutes.
+const MAX_DOUBLINGS: usize = 3;
 
-/// How long a request that isn't shut out is remembered after its last broken run.
-const REMEMBERED_MS: Millis = 600_000;
+/// How long the record of a request that isn't quarantined is kept after its last crash.
+const RETENTION_MS: Millis = 600_000;
 
-/// How long a request that was cleared is remembered: longer than a report of an earlier run is
-/// on its way.
-const CLEARED_MS: Millis = 30_000;
+/// How long the record of a cleared request is kept: longer than the report of an earlier crash
+/// takes to arrive.
+const CLEARED_RETENTION_MS: Millis = 30_000;
 
-/// Most runs that are kept.
-pub(super) const MOST_RUNS: usize = RUNS_TO_SHUT_OUT + MOST_DOUBLINGS;
+/// Most crashes kept in a record.
+pub(super) const MAX_CRASHES: usize = CRASHES_TO_QUARANTINE + MAX_DOUBLINGS;
 
-/// Whose request it is, where it goes, and how to know it without its digest.
+/// What identifies a suspected request without its digest, and its service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Suspect {
     /// The workspace; `None` where no key is needed.
@@ -33,67 +33,68 @@
     /// The service.
     #[serde(rename = "s")]
     pub service: Service,
-    /// What is compared before the digest is computed.
+    /// The shape, which is compared before the digest is computed.
     #[serde(rename = "h")]
     pub shape: RequestShape,
 }
 
-/// A run that ended with its upstream's connection, without an answer.
+/// An attempt whose connection to the upstream broke without a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BrokenRun {
     /// The upstream.
     pub upstream: UpstreamId,
-    /// Which of its lives.
+    /// The instance of the upstream.
     pub started: Option<UpstreamStart>,
-    /// When the request was sent, by this box's clock; 0 where that was before its start.
+    /// When the request was sent, by this box's clock; 0 if that was before the box started.
     pub began: Millis,
     /// When the connection broke.
     pub ended: Millis,
 }
 
 impl BrokenRun {
-    fn is_at_upstream_of(&self, other: &Self) -> bool {
+    fn is_same_upstream(&self, other: &Self) -> bool {
         (&self.upstream, self.started) == (&other.upstream, other.started)
     }
 }
 
-/// What may be done with a request.
+/// The decision about a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// No crash is on record.
     Unknown,
-    /// An upstream ended under it: it goes where its own digest says.
+    /// An upstream ended under it: the request is placed by its own digest.
     Suspect,
-    /// It is held back.
+    /// The request is quarantined.
     ShutOut {
-        /// How much longer, in milliseconds.
+        /// Remaining time of the quarantine, in milliseconds.
         for_ms: Millis,
     },
 }
 
-/// How much speaks against a request.
+/// The level of suspicion against a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Level {
-    /// Nothing, or less than others are told of.
+    /// No crash, or too few to inform all boxes.
     Clear,
-    /// It was shut out.
+    /// Its quarantine has expired.
     LetOut,
-    /// Enough to tell all boxes.
+    /// Enough crashes to inform all boxes.
     Suspected,
-    /// Enough to hold it back.
+    /// Enough crashes to quarantine it.
     ShutOut,
 }
 
-/// What is known of one request.
+/// The record of one request.
 #[derive(Clone, Debug)]
 pub(super) struct Record {
     suspect: Suspect,
-    /// Broken runs, each of which began after the one before had ended. Runs of one moment
-    /// count once: where many upstreams end together, none of their requests is the cause.
+    /// Crashes, each of an attempt that began after the one before had ended. Of attempts that
+    /// overlap in time only one counts: where many upstreams end together, none of their requests
+    /// is the cause.
     runs: Vec<BrokenRun>,
-    /// When a run was last answered; 0 if never.
+    /// When an attempt was last answered; 0 if never.
     answered_at: Millis,
-    seen: Level,
+    last_level: Level,
 }
 
 impl Record {
@@ -102,7 +103,7 @@
             suspect,
             runs: Vec::new(),
             answered_at: 0,
-            seen: Level::Clear,
+            last_level: Level::Clear,
         }
     }
 
@@ -114,72 +115,72 @@
         &self.runs
     }
 
-    /// Adds a broken run; says whether that changed anything.
-    pub(super) fn add_run(&mut self, run: BrokenRun) -> bool {
-        let is_known = self.runs.iter().any(|held| held.is_at_upstream_of(&run));
-        if is_known || run.ended <= self.answered_at {
+    /// Adds a crash; returns whether the record changed.
+    pub(super) fn add_crash(&mut self, crash: BrokenRun) -> bool {
+        let is_known = self.runs.iter().any(|known| known.is_same_upstream(&crash));
+        if is_known || crash.ended <= self.answered_at {
             return false;
         }
         let mut all = self.runs.clone();
-        all.push(run);
-        let kept = one_after_another(all);
+        all.push(crash);
+        let kept = sequential(all);
         let is_changed = kept != self.runs;
         self.runs = kept;
         is_changed
     }
 
-    /// A run was answered at `at`; says whether that changed anything.
+    /// Records that an attempt was answered at `at`; returns whether the record changed.
     pub(super) fn answered(&mut self, at: Millis) -> bool {
         if at <= self.answered_at {
             return false;
         }
         self.answered_at = at;
-        let held = self.runs.len();
-        self.runs.retain(|run| run.ended > at);
-        self.runs.len() != held
+        let count_before = self.runs.len();
+        self.runs.retain(|crash| crash.ended > at);
+        self.runs.len() != count_before
     }
 
-    /// Takes what another box told; says whether that changed anything.
+    /// Merges another box's report; returns whether the record changed.
     pub(super) fn merge(&mut self, report: &RunReport, now: Millis) -> bool {
         let ago = |ago_ms: Millis| now.saturating_sub(ago_ms);
         let mut is_changed = report
             .answered_ago_ms
-            .is_some_and(|answered| self.answered(ago(answered)));
-        // Reports are on their way for different times, so that runs of two of them may seem to
-        // overlap. Those of one report don't: where it tells of more than is known here, its
-        // times count.
-        let mut theirs = Self {
+            .is_some_and(|ago_ms| self.answered(ago(ago_ms)));
+        // Reports take different times to arrive, so that crashes from two reports may seem to
+        // overlap. Those of one report never do: if it contains more crashes than are on record
+        // here, its times are used.
+        let mut merged = Self {
             runs: Vec::new(),
             ..self.clone()
         };
-        let told_runs = report.runs.iter().map(|told| BrokenRun {
-            upstream: told.upstream.clone(),
-            started: told.started,
-            began: ago(told.began_ago_ms),
-            ended: ago(told.ended_ago_ms),
+        let reported = report.runs.iter().map(|reported_crash| BrokenRun {
+            upstream: reported_crash.upstream.clone(),
+            started: reported_crash.started,
+            began: ago(reported_crash.began_ago_ms),
+            ended: ago(reported_crash.ended_ago_ms),
         });
-        for run in told_runs {
-            theirs.add_run(run.clone());
-            is_changed |= self.add_run(run);
+        for crash in reported {
+            merged.add_crash(crash.clone());
+            is_changed |= self.add_crash(crash);
         }
-        if theirs.runs.len() > self.runs.len() {
-            self.runs = theirs.runs;
+        if merged.runs.len() > self.runs.len() {
+            self.runs = merged.runs;
             is_changed = true;
         }
         is_changed
     }
 
     pub(super) fn report(&self, digest: RequestDigest, now: Millis) -> RunReport {
-        let told = |run: &BrokenRun| ToldRun {
-            upstream: run.upstream.clone(),
-            started: run.started,
-            began_ago_ms: now.saturating_sub(run.began),
-            ended_ago_ms: now.saturating_sub(run.ended),
+        let reported_crash = |crash: &BrokenRun| ToldRun {
+            upstream: crash.upstream.clone(),
+            started: crash.started,
+            began_ago_ms: now.saturating_sub(crash.began),
+            ended_ago_ms: now.saturating_sub(crash.ended),
         };
         RunReport {
             digest,
             suspect: self.suspect.clone(),
-            runs: self.runs.iter().map(told).collect(),
+            runs: self.runs.iter().map(reported_crash).collect(),
             answered_ago_ms: (self.answered_at > 0).then(|| now.saturating_sub(self.answered_at)),
         }
     }
@@ -187,7 +188,7 @@
     pub(super) fn verdict(&self, now: Millis) -> Verdict {
         match self.level(now) {
             Level::ShutOut => Verdict::ShutOut {
-                for_ms: self.shut_out_until().saturating_sub(now),
+                for_ms: self.quarantined_until().saturating_sub(now),
             },
             _ if self.runs.is_empty() => Verdict::Unknown,
             _ => Verdict::Suspect,
@@ -196,56 +197,56 @@
 
     pub(super) fn level(&self, now: Millis) -> Level {
         match self.runs.len() {
-            RUNS_TO_SHUT_OUT.. if now < self.shut_out_until() => Level::ShutOut,
-            RUNS_TO_SHUT_OUT.. => Level::LetOut,
-            RUNS_TO_SUSPECT.. => Level::Suspected,
+            CRASHES_TO_QUARANTINE.. if now < self.quarantined_until() => Level::ShutOut,
+            CRASHES_TO_QUARANTINE.. => Level::LetOut,
+            CRASHES_TO_SUSPECT.. => Level::Suspected,
             _ => Level::Clear,
         }
     }
 
-    /// The level, where it is another than when it was last looked at.
-    pub(super) fn seen_level(&mut self, now: Millis) -> Option<Level> {
+    /// Returns the level if it has changed since the last call.
+    pub(super) fn take_level_change(&mut self, now: Millis) -> Option<Level> {
         let level = self.level(now);
-        let is_new = level != self.seen;
-        self.seen = level;
-        is_new.then_some(level)
+        let has_changed = level != self.last_level;
+        self.last_level = level;
+        has_changed.then_some(level)
     }
 
-    /// When a request that was shut out is let out again; 0 if it never was.
-    pub(super) fn shut_out_until(&self) -> Millis {
-        let Some(beyond) = self.runs.len().checked_sub(RUNS_TO_SHUT_OUT) else {
+    /// Returns when the quarantine ends; 0 if the request was never quarantined.
+    pub(super) fn quarantined_until(&self) -> Millis {
+        let Some(surplus) = self.runs.len().checked_sub(CRASHES_TO_QUARANTINE) else {
             return 0;
         };
-        let ended = self.runs.last().map_or(0, |run| run.ended);
-        ended + (SHUT_OUT_MS << beyond.min(MOST_DOUBLINGS))
+        let ended = self.runs.last().map_or(0, |crash| crash.ended);
+        ended + (QUARANTINE_MS << surplus.min(MAX_DOUBLINGS))
     }
 
-    /// Whether it need not be remembered.
-    pub(super) fn is_over(&self, now: Millis) -> bool {
+    /// Whether the record may be removed.
+    pub(super) fn is_expired(&self, now: Millis) -> bool {
         match self.runs.last() {
-            Some(last) => now >= self.shut_out_until().max(last.ended) + REMEMBERED_MS,
-            None => now >= self.answered_at + CLEARED_MS,
+            Some(last) => now >= self.quarantined_until().max(last.ended) + RETENTION_MS,
+            None => now >= self.answered_at + CLEARED_RETENTION_MS,
         }
     }
 
-    /// What counts where not all can be remembered: how much speaks against it, then how new
-    /// that is.
-    pub(super) fn weight(&self) -> (usize, Millis) {
-        let ended = self.runs.last().map_or(0, |run| run.ended);
+    /// Returns the order in which records are kept when there are too many: by the number of
+    /// crashes, then by the time of the last one.
+    pub(super) fn retention_priority(&self) -> (usize, Millis) {
+        let ended = self.runs.last().map_or(0, |crash| crash.ended);
         (self.runs.len(), ended)
     }
 }
 
-/// The longest row of runs, each of which began after the one before had ended; the newest
-/// [`MOST_RUNS`] of it.
-fn one_after_another(mut runs: Vec<BrokenRun>) -> Vec<BrokenRun> {
-    runs.sort_by_key(|run| run.ended);
+/// Returns the longest sequence of crashes in which each attempt began after the one before had
+/// ended, limited to the newest [`MAX_CRASHES`].
+fn sequential(mut runs: Vec<BrokenRun>) -> Vec<BrokenRun> {
+    runs.sort_by_key(|crash| crash.ended);
     let mut kept: Vec<BrokenRun> = Vec::with_capacity(runs.len());
-    for run in runs {
-        if kept.last().is_none_or(|last| run.began >= last.ended) {
-            kept.push(run);
+    for crash in runs {
+        if kept.last().is_none_or(|last| crash.began >= last.ended) {
+            kept.push(crash);
         }
     }
-    let surplus = kept.len().saturating_sub(MOST_RUNS);
+    let surplus = kept.len().saturating_sub(MAX_CRASHES);
     kept.split_off(surplus)
 }
--- a/crates/routing/src/quarantine/status.rs
+++ b/crates/routing/src/quarantine/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of requests under which upstreams ended.
+//! The status of requests under which upstreams ended, for operators.
 
 use super::record::{Level, Record, Verdict};
 use crate::request_digest::RequestDigest;
@@ -6,20 +6,21 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A request that is suspected or shut out.
+/// The status of a suspected or quarantined request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShutOutStatus {
-    /// The request's digest, as log lines give it.
+    /// The request's digest, as in log lines.
     pub digest: String,
     /// Its service.
     pub service: Service,
     /// Its workspace; `None` where no key is needed.
     pub workspace: Option<Workspace>,
-    /// Upstreams that ended under it, one after another.
+    /// Number of upstreams that ended under it in sequence.
     pub crashes: usize,
-    /// How long ago the last of them did, in milliseconds.
+    /// Time since the last of them ended, in milliseconds.
     pub last_ago_ms: Millis,
-    /// How much longer it is shut out, in milliseconds; `None` where it is only suspected.
+    /// Remaining time of its quarantine, in milliseconds; `None` if it is only suspected.
+    #[serde(rename = "shut_out_for_ms")]
     pub shut_out_for_ms: Option<Millis>,
 }
 
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are held back because upstreams end under them, and which are not.
+//! Which requests are quarantined because upstreams end under them, and which aren't.
 #![allow(clippy::unwrap_used)]
 
 use brasswinch_routing::{
@@ -8,8 +8,8 @@
 use brasswinch_types::{BoxId, Millis, Service, UpstreamId, Workspace};
 use std::net::SocketAddr;
 
-/// Longest time for which a request is shut out, in milliseconds.
-const LONGEST: Millis = 2_400_000;
+/// Maximum duration of a quarantine, in milliseconds.
+const MAX_QUARANTINE_MS: Millis = 2_400_000;
 
 fn identity(path: &str) -> RequestIdentity<'_> {
     RequestIdentity {
@@ -33,7 +33,7 @@
     }
 }
 
-fn run(upstream: &str, began: Millis, ended: Millis) -> BrokenRun {
+fn crash(upstream: &str, began: Millis, ended: Millis) -> BrokenRun {
     BrokenRun {
         upstream: UpstreamId::new(upstream),
         started: None,
@@ -54,11 +54,11 @@
     }
 }
 
-fn alone() -> Quarantine {
+fn single_box() -> Quarantine {
     Quarantine::new(BoxId::new("box-0"))
 }
 
-/// Boxes that pass each other's reports on at once.
+/// Boxes that deliver each other's reports at once.
 struct Fleet {
     boxes: Vec<Quarantine>,
 }
@@ -66,8 +66,8 @@
 impl Fleet {
     fn new(count: u16) -> Self {
         let all: Vec<QuarantineBox> = (0..count).map(quarantine_box).collect();
-        let started = |held: &QuarantineBox| {
-            let mut quarantine = Quarantine::new(held.id.clone());
+        let started = |quarantine_box: &QuarantineBox| {
+            let mut quarantine = Quarantine::new(quarantine_box.id.clone());
             quarantine.set_boxes(all.clone(), 1);
             quarantine
         };
@@ -76,21 +76,21 @@
         }
     }
 
-    /// Passes reports on until none is left; a box in `deaf` hears nothing.
-    fn settle(&mut self, deaf: &[usize], now: Millis) {
+    /// Delivers reports until none is left; boxes in `unreachable` receive none.
+    fn deliver_reports(&mut self, unreachable: &[usize], now: Millis) {
         loop {
             let mut out = Vec::new();
-            for (place, held) in self.boxes.iter_mut().enumerate() {
+            for (place, quarantine) in self.boxes.iter_mut().enumerate() {
                 let from = place as u16;
-                let told = held.take_reports(now).into_iter();
-                out.extend(told.map(|(to, report)| (from, to, report)));
+                let outgoing = quarantine.take_reports(now).into_iter();
+                out.extend(outgoing.map(|(to, report)| (from, to, report)));
             }
             if out.is_empty() {
                 return;
             }
             for (from, to, report) in out {
                 let number = usize::from(to.port() - 1_000);
-                if !deaf.contains(&number) {
+                if !unreachable.contains(&number) {
                     self.boxes[number]
                         .hear(&report, address(from), now)
                         .unwrap();
@@ -99,16 +99,16 @@
         }
     }
 
-    fn broke(&mut self, at: usize, path: &str, run: BrokenRun) {
-        let now = run.ended;
-        self.boxes[at].broke(digest(path), &suspect_of(path, None), run, now);
+    fn broke(&mut self, at: usize, path: &str, crash: BrokenRun) {
+        let now = crash.ended;
+        self.boxes[at].broke(digest(path), &suspect_of(path, None), crash, now);
     }
 
-    fn shut_out(&self, path: &str, now: Millis) -> usize {
+    fn quarantined_count(&self, path: &str, now: Millis) -> usize {
         let verdicts = self
             .boxes
             .iter()
-            .map(|held| held.verdict(digest(path), now));
+            .map(|quarantine| quarantine.verdict(digest(path), now));
         verdicts
             .filter(|verdict| matches!(verdict, Verdict::ShutOut { .. }))
             .count()
@@ -116,38 +116,38 @@
 }
 
 #[test]
-fn the_third_run_in_a_row_shuts_a_request_out_at_every_box() {
+fn the_third_crash_in_a_row_quarantines_a_request_at_every_box() {
     let mut fleet = Fleet::new(12);
     for number in 0..3 {
         let began = 1_000 + 200 * number as Millis;
         let upstream = format!("upstream-{number}");
-        fleet.broke(4 * number, "/a", run(&upstream, began, began + 100));
-        fleet.settle(&[], began + 101);
+        fleet.broke(4 * number, "/a", crash(&upstream, began, began + 100));
+        fleet.deliver_reports(&[], began + 101);
         let expected = if number == 2 { 12 } else { 0 };
-        assert_eq!(fleet.shut_out("/a", began + 101), expected);
+        assert_eq!(fleet.quarantined_count("/a", began + 101), expected);
     }
-    assert_eq!(fleet.shut_out("/b", 1_501), 0, "another request");
+    assert_eq!(fleet.quarantined_count("/b", 1_501), 0, "another request");
 }
 
 #[test]
-fn any_box_may_hear_nothing_for_a_moment() {
-    for deaf in 0..12 {
+fn a_box_that_misses_reports_receives_the_second_broadcast() {
+    for unreachable in 0..12 {
         let mut fleet = Fleet::new(12);
         for number in 0..3 {
             let began = 1_000 + 200 * number as Millis;
-            let at = (deaf + 1 + number) % 12;
+            let at = (unreachable + 1 + number) % 12;
             fleet.broke(
                 at,
                 "/a",
-                run(&format!("upstream-{number}"), began, began + 100),
+                crash(&format!("upstream-{number}"), began, began + 100),
             );
-            fleet.settle(&[deaf], began + 101);
+            fleet.deliver_reports(&[unreachable], began + 101);
         }
-        assert!(fleet.shut_out("/a", 1_501) >= 11, "without box {deaf}");
-        // All are told once more.
-        fleet.boxes.iter_mut().for_each(|held| held.tick(1_900));
-        fleet.settle(&[], 1_900);
-        assert_eq!(fleet.shut_out("/a", 1_900), 12, "without box {deaf}");
+        assert!(fleet.quarantined_count("/a", 1_501) >= 11, "without box {unreachable}");
+        // The change is broadcast again.
+        fleet.boxes.iter_mut().for_each(|quarantine| quarantine.tick(1_900));
+        fleet.deliver_reports(&[], 1_900);
+        assert_eq!(fleet.quarantined_count("/a", 1_900), 12, "without box {unreachable}");
     }
 }
 
@@ -159,24 +159,24 @@
         fleet.broke(
             number,
             "/popular",
-            run(&upstream, 1_000, 1_500 + number as Millis),
+            crash(&upstream, 1_000, 1_500 + number as Millis),
         );
     }
-    fleet.settle(&[], 1_520);
-    assert_eq!(fleet.shut_out("/popular", 1_520), 0);
+    fleet.deliver_reports(&[], 1_520);
+    assert_eq!(fleet.quarantined_count("/popular", 1_520), 0);
 }
 
 #[test]
-fn an_answer_at_any_box_clears_a_suspect() {
+fn an_answer_at_any_box_clears_a_suspected_request() {
     let mut fleet = Fleet::new(12);
-    fleet.broke(1, "/a", run("upstream-1", 1_000, 1_100));
-    fleet.settle(&[], 1_101);
-    fleet.broke(2, "/a", run("upstream-2", 1_200, 1_300));
-    fleet.settle(&[], 1_301);
+    fleet.broke(1, "/a", crash("upstream-1", 1_000, 1_100));
+    fleet.deliver_reports(&[], 1_101);
+    fleet.broke(2, "/a", crash("upstream-2", 1_200, 1_300));
+    fleet.deliver_reports(&[], 1_301);
     let suspected = fleet
         .boxes
         .iter()
-        .map(|held| held.verdict(digest("/a"), 1_301));
+        .map(|quarantine| quarantine.verdict(digest("/a"), 1_301));
     assert_eq!(
         suspected
             .filter(|verdict| *verdict == Verdict::Suspect)
@@ -184,34 +184,34 @@
         12
     );
     fleet.boxes[7].answered(digest("/a"), 1_500);
-    fleet.settle(&[], 1_501);
-    fleet.broke(3, "/a", run("upstream-3", 1_600, 1_700));
-    fleet.settle(&[], 1_701);
-    assert_eq!(fleet.shut_out("/a", 1_701), 0);
+    fleet.deliver_reports(&[], 1_501);
+    fleet.broke(3, "/a", crash("upstream-3", 1_600, 1_700));
+    fleet.deliver_reports(&[], 1_701);
+    assert_eq!(fleet.quarantined_count("/a", 1_701), 0);
 }
 
 #[test]
-fn a_run_is_counted_once_whoever_tells_of_it() {
-    let mut quarantine = alone();
+fn a_crash_is_counted_once() {
+    let mut quarantine = single_box();
     for _ in 0..5 {
         quarantine.broke(
             digest("/a"),
             &suspect_of("/a", None),
-            run("one", 1_000, 1_100),
+            crash("one", 1_000, 1_100),
             1_100,
         );
     }
     quarantine.broke(
         digest("/a"),
         &suspect_of("/a", None),
-        run("two", 1_200, 1_300),
+        crash("two", 1_200, 1_300),
         1_300,
     );
     assert_eq!(quarantine.verdict(digest("/a"), 1_300), Verdict::Suspect);
-    // Its next life is another upstream.
+    // After a restart it counts as another upstream.
     let again = BrokenRun {
         started: Some(UpstreamStart(7)),
-        ..run("one", 1_400, 1_500)
+        ..crash("one", 1_400, 1_500)
     };
     quarantine.broke(digest("/a"), &suspect_of("/a", None), again, 1_500);
     let verdict = quarantine.verdict(digest("/a"), 1_500);
@@ -219,47 +219,47 @@
 }
 
 #[test]
-fn a_box_that_starts_later_is_told_what_is_shut_out() {
+fn a_restarted_box_learns_of_quarantined_requests() {
     let mut fleet = Fleet::new(6);
     for number in 0..3 {
         let began = 1_000 + 200 * number as Millis;
         fleet.broke(
             number,
             "/a",
-            run(&format!("upstream-{number}"), began, began + 100),
+            crash(&format!("upstream-{number}"), began, began + 100),
         );
-        fleet.settle(&[], began + 101);
+        fleet.deliver_reports(&[], began + 101);
     }
     for restarted in 0..6 {
         let mut all: Vec<QuarantineBox> = (0..6).map(quarantine_box).collect();
         all[restarted].incarnation = 2 + restarted as u64;
         fleet.boxes[restarted] = Quarantine::new(all[restarted].id.clone());
-        for held in &mut fleet.boxes {
-            held.set_boxes(all.clone(), 3_000);
+        for quarantine in &mut fleet.boxes {
+            quarantine.set_boxes(all.clone(), 3_000);
         }
-        fleet.settle(&[], 3_000);
+        fleet.deliver_reports(&[], 3_000);
         assert_eq!(
-            fleet.shut_out("/a", 3_000),
+            fleet.quarantined_count("/a", 3_000),
             6,
-            "box {restarted} started again"
+            "box {restarted} restarted"
         );
     }
 }
 
 #[test]
-fn a_request_that_is_let_out_is_shut_out_by_one_more_run_and_for_longer() {
-    let mut quarantine = alone();
+fn one_more_crash_quarantines_a_released_request_for_longer() {
+    let mut quarantine = single_box();
     let suspect = suspect_of("/a", None);
     let mut now = 0;
-    let mut last_for = 0;
+    let mut last_for_ms = 0;
     for number in 0..8 {
         now += 1_000;
-        let broken = run(&format!("upstream-{number}"), now - 500, now);
-        quarantine.broke(digest("/a"), &suspect, broken, now);
+        let crash = crash(&format!("upstream-{number}"), now - 500, now);
+        quarantine.broke(digest("/a"), &suspect, crash, now);
         match quarantine.verdict(digest("/a"), now) {
             Verdict::ShutOut { for_ms } => {
-                assert!(for_ms >= last_for && for_ms <= LONGEST, "{for_ms}");
-                last_for = for_ms;
+                assert!(for_ms >= last_for_ms && for_ms <= MAX_QUARANTINE_MS, "{for_ms}");
+                last_for_ms = for_ms;
                 now += for_ms;
                 quarantine.tick(now);
                 assert_eq!(quarantine.verdict(digest("/a"), now), Verdict::Suspect);
@@ -267,36 +267,36 @@
             verdict => assert!(number < 2 && verdict == Verdict::Suspect, "{verdict:?}"),
         }
     }
-    assert!(last_for > 0);
-    let news = quarantine.take_news();
+    assert!(last_for_ms > 0);
+    let events = quarantine.take_news();
     assert!(
-        news.iter()
-            .any(|news| news.change == QuarantineChange::LetOut)
+        events.iter()
+            .any(|event| event.change == QuarantineChange::LetOut)
     );
-    quarantine.tick(now + 2 * LONGEST);
+    quarantine.tick(now + 2 * MAX_QUARANTINE_MS);
     assert_eq!(
-        quarantine.verdict(digest("/a"), now + 2 * LONGEST),
+        quarantine.verdict(digest("/a"), now + 2 * MAX_QUARANTINE_MS),
         Verdict::Unknown
     );
 }
 
 #[test]
-fn a_workspace_pushes_nothing_of_another_out() {
-    let mut quarantine = alone();
-    let theirs = suspect_of("/theirs", Some("quiet"));
+fn a_workspace_does_not_displace_the_records_of_another() {
+    let mut quarantine = single_box();
+    let other_suspect = suspect_of("/theirs", Some("quiet"));
     for number in 0..3 {
-        let broken = run(
+        let crash = crash(
             &format!("upstream-{number}"),
             100 * number,
             100 * number + 50,
         );
-        quarantine.broke(digest("/theirs"), &theirs, broken, 100 * number + 50);
+        quarantine.broke(digest("/theirs"), &other_suspect, crash, 100 * number + 50);
     }
     for number in 0..20_000_u64 {
         let path = format!("/many/{number}");
         let now = 1_000 + number;
-        let broken = run(&format!("other-{number}"), now - 1, now);
-        quarantine.broke(digest(&path), &suspect_of(&path, Some("loud")), broken, now);
+        let crash = crash(&format!("other-{number}"), now - 1, now);
+        quarantine.broke(digest(&path), &suspect_of(&path, Some("loud")), crash, now);
     }
     let verdict = quarantine.verdict(digest("/theirs"), 21_000);
     assert!(matches!(verdict, Verdict::ShutOut { .. }));
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn the_same_request_of_another_workspace_is_another_request() {
+fn the_same_request_of_another_workspace_has_another_digest() {
     let of = |workspace: Option<&Workspace>, path, body| {
         RequestDigest::of(&RequestIdentity {
             workspace,
@@ -333,8 +333,8 @@
 }
 
 #[test]
-fn a_report_that_can_t_be_true_is_refused() {
-    let told = |began_ago_ms, ended_ago_ms| ToldRun {
+fn an_impossible_report_is_refused() {
+    let reported = |began_ago_ms, ended_ago_ms| ToldRun {
         upstream: UpstreamId::new("upstream"),
         started: None,
         began_ago_ms,
@@ -350,20 +350,20 @@
     let refused = [
         (report(Vec::new(), None), ReportError::Empty),
         (
-            report(vec![told(9, 8); 7], None),
-            ReportError::TooManyRuns(7),
+            report(vec![reported(9, 8); 7], None),
+            ReportError::TooManyCrashes(7),
         ),
-        (report(vec![told(8, 9)], None), ReportError::Backwards),
+        (report(vec![reported(8, 9)], None), ReportError::EndedBeforeBegin),
         (
-            report(vec![told(century, 9)], None),
-            ReportError::TooLongAgo(century),
+            report(vec![reported(century, 9)], None),
+            ReportError::TooOld(century),
         ),
         (
             report(Vec::new(), Some(u64::MAX)),
-            ReportError::TooLongAgo(u64::MAX),
+            ReportError::TooOld(u64::MAX),
         ),
     ];
-    let mut quarantine = alone();
+    let mut quarantine = single_box();
     for (report, error) in refused {
         assert_eq!(quarantine.hear(&report, address(9), 1_000), Err(error));
     }
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_box_that_was_frozen_is_told_by_the_first_that_it_tells() {
+fn a_box_that_was_frozen_catches_up_when_it_next_reports() {
     for frozen in 0..12 {
         let mut fleet = Fleet::new(12);
         for number in 0..3 {
@@ -380,43 +380,43 @@
             fleet.broke(
                 at,
                 "/a",
-                run(&format!("upstream-{number}"), began, began + 100),
+                crash(&format!("upstream-{number}"), began, began + 100),
             );
-            fleet.settle(&[frozen], began + 101);
+            fleet.deliver_reports(&[frozen], began + 101);
         }
-        // What was sent to it meanwhile is lost.
-        fleet.settle(&[frozen], 5_000);
+        // Reports sent to it meanwhile are lost.
+        fleet.deliver_reports(&[frozen], 5_000);
         let before = fleet.boxes[frozen].verdict(digest("/a"), 5_000);
         assert!(!matches!(before, Verdict::ShutOut { .. }));
-        fleet.broke(frozen, "/a", run("upstream-9", 5_000, 5_100));
-        fleet.settle(&[], 5_130);
-        assert_eq!(fleet.shut_out("/a", 5_130), 12, "box {frozen}");
+        fleet.broke(frozen, "/a", crash("upstream-9", 5_000, 5_100));
+        fleet.deliver_reports(&[], 5_130);
+        assert_eq!(fleet.quarantined_count("/a", 5_130), 12, "box {frozen}");
     }
 }
 
 #[test]
-fn what_the_store_holds_is_told_to_all_boxes() {
+fn a_report_from_the_store_reaches_all_boxes() {
     let mut fleet = Fleet::new(6);
     for number in 0..3 {
         let began = 1_000 + 200 * number as Millis;
         fleet.broke(
             0,
             "/a",
-            run(&format!("upstream-{number}"), began, began + 100),
+            crash(&format!("upstream-{number}"), began, began + 100),
         );
     }
-    fleet.settle(&[], 1_501);
+    fleet.deliver_reports(&[], 1_501);
     let mut kept = Vec::new();
-    for held in &mut fleet.boxes {
-        kept.extend(held.take_unconfirmed(1_501));
+    for quarantine in &mut fleet.boxes {
+        kept.extend(quarantine.take_unconfirmed(1_501));
     }
-    assert_eq!(kept.len(), 2, "both that count keep it");
+    assert_eq!(kept.len(), 2, "both coordinators store it");
     assert!(
         kept.iter()
-            .all(|(_, for_ms)| *for_ms > 0 && *for_ms <= LONGEST)
+            .all(|(_, for_ms)| *for_ms > 0 && *for_ms <= MAX_QUARANTINE_MS)
     );
     let mut started = Fleet::new(6);
     started.boxes[3].confirmed(&kept[0].0, 1_000).unwrap();
-    started.settle(&[], 1_000);
-    assert_eq!(started.shut_out("/a", 1_000), 6);
+    started.deliver_reports(&[], 1_000);
+    assert_eq!(started.quarantined_count("/a", 1_000), 6);
 }
