--- a/crates/routing/tests/shared_bounds.rs
+++ b/crates/routing/tests/shared_bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds that all boxes keep together without a message.
+//! Bounds that all boxes together keep without exchanging messages.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
@@ -14,8 +14,8 @@
 const WINDOW_MS: u64 = 10_000;
 
 proptest! {
-    /// However requests fall on boxes and however eagerly each repeats, no window holds
-    /// more repeats than the bound allows.
+    /// However requests are spread over boxes and however eagerly each box retries, no window
+    /// holds more retries than the bound allows.
     #[test]
     fn repeats_of_all_boxes_stay_under_the_bound(
         boxes in 1_usize..14,
@@ -25,7 +25,7 @@
         let mut budgets = vec![RetryBudget::new(settings); boxes];
         let mut sorted = requests;
         sorted.sort_by_key(|(_, at, _)| *at);
-        let (mut sent, mut repeated) = (Vec::new(), Vec::new());
+        let (mut sent, mut retried) = (Vec::new(), Vec::new());
         for (place, at, is_request) in sorted {
             let budget = &mut budgets[place % boxes];
             if is_request {
@@ -34,27 +34,27 @@
             }
             for _ in 0..3 {
                 if budget.spend(boxes, at) {
-                    repeated.push(at);
+                    retried.push(at);
                 }
             }
         }
-        let within = |times: &[u64], from: u64, to: u64| {
+        let count_between = |times: &[u64], from: u64, to: u64| {
             times.iter().filter(|at| **at >= from && **at < to).count() as f64
         };
         for from in (0..30_000_u64).step_by(500) {
             let to = from + WINDOW_MS;
             // The bound counts the requests of this window or of the one before.
             let before = from.saturating_sub(WINDOW_MS);
-            let asked = within(&sent, from, to)
-                .max(within(&sent, before, from))
-                .max(within(&sent, from.saturating_sub(WINDOW_MS / 2), to - WINDOW_MS / 2));
-            let repeats = within(&repeated, from, to);
-            prop_assert!(repeats <= RATIO * asked + EXTRA, "{repeats} of {asked} from {from}");
+            let max_requests = count_between(&sent, from, to)
+                .max(count_between(&sent, before, from))
+                .max(count_between(&sent, from.saturating_sub(WINDOW_MS / 2), to - WINDOW_MS / 2));
+            let retries = count_between(&retried, from, to);
+            prop_assert!(retries <= RATIO * max_requests + EXTRA, "{retries} retries for {max_requests} requests from {from}");
         }
     }
 
-    /// However a fleet falls apart into groups that can't hear each other, what they send over time
-    /// to a cold upstream that all of them reach stays under one and a half times what it bears.
+    /// However a fleet splits into groups that can't reach each other, the requests that they send
+    /// over time to a cold upstream stay below one and a half times what it can handle.
     #[test]
     fn groups_that_are_cut_off_from_each_other_together_press_a_cold_upstream(
         groups in proptest::collection::vec(1_usize..14, 1..24),
@@ -65,20 +65,20 @@
         let boxes: usize = groups.iter().sum();
         let mut dice = dice.into_iter();
         let mut sent = 0;
-        for heard in groups {
-            let group_per_s = cold_per_s * ColdPacing::group_part(heard, boxes);
-            for _ in 0..ColdPacing::warmers(heard) {
+        for group_size in groups {
+            let group_per_s = cold_per_s * ColdPacing::group_part(group_size, boxes);
+            for _ in 0..ColdPacing::warmers(group_size) {
                 let (mut pacing, random) = (ColdPacing::default(), dice.next().unwrap());
-                let admitted = (0..SPAN_MS).filter(|now| pacing.admit(group_per_s, heard, random, *now));
+                let admitted = (0..SPAN_MS).filter(|now| pacing.admit(group_per_s, group_size, random, *now));
                 sent += admitted.count();
             }
         }
-        let most = cold_per_s * 1.5 * SPAN_MS as f64 / 1_000.0 + 5.0;
-        prop_assert!(sent as f64 <= most, "{sent} of {most}");
+        let max_allowed = cold_per_s * 1.5 * SPAN_MS as f64 / 1_000.0 + 5.0;
+        prop_assert!(sent as f64 <= max_allowed, "{sent} requests, of {max_allowed} allowed");
     }
 
-    /// Two groups that can't see each other, both warming as fast as they may, stay under
-    /// one and a half times what the upstream bears and a little.
+    /// Two groups that can't reach each other, both warming the upstream as fast as they may, stay
+    /// below one and a half times what it can handle, plus a small constant.
     #[test]
     fn two_cut_off_groups_together_spare_a_cold_upstream(
         first in 1_usize..40,
@@ -88,28 +88,28 @@
     ) {
         let mut arrivals: Vec<u64> = Vec::new();
         let mut dice = random.into_iter().cycle();
-        for group in [first, second] {
-            for _ in 0..ColdPacing::warmers(group) {
+        for group_size in [first, second] {
+            for _ in 0..ColdPacing::warmers(group_size) {
                 let mut pacing = ColdPacing::default();
                 let dice = dice.next().unwrap();
                 for now in 1..6_000 {
-                    if pacing.admit(cold_per_s, group, dice, now) {
+                    if pacing.admit(cold_per_s, group_size, dice, now) {
                         arrivals.push(now);
                     }
                 }
             }
         }
-        let most = cold_per_s * 1.5 + 5.0;
+        let max_allowed = cold_per_s * 1.5 + 5.0;
         for from in 0..5_000 {
             let count = arrivals.iter().filter(|at| **at >= from && **at < from + 1_000).count();
-            prop_assert!(count as f64 <= most, "{count} of {most}");
+            prop_assert!(count as f64 <= max_allowed, "{count} requests, of {max_allowed} allowed");
         }
         prop_assert!(!arrivals.is_empty());
     }
 
-    /// The parts of a region's requests always sum to one, and what moves between one
-    /// window of 2 s and the next stays under the bound, whatever room and demand do, as
-    /// long as no region loses all of its room.
+    /// The fractions of a region's requests always sum to one. The change from one window of 2 s
+    /// to the next stays within the bound, whatever capacity and demand do, as long as no region
+    /// loses all of its capacity.
     #[test]
     fn a_plan_moves_slowly(
         steps in proptest::collection::vec(
@@ -117,7 +117,7 @@
             8..40,
         ),
     ) {
-        const MOST_SHIFT: f64 = 0.15;
+        const MAX_SHIFT: f64 = 0.15;
         const STEPS_IN_WINDOW: usize = 4;
         let regions = ["west", "north", "south"].map(Region::new);
         let mut plan = RegionPlan::default();
@@ -130,7 +130,7 @@
                     demand: demand[index],
                 })
                 .collect();
-            plan.advance(&regions[0], &rooms, MOST_SHIFT, 1 + step as u64 * 500);
+            plan.advance(&regions[0], &rooms, MAX_SHIFT, 1 + step as u64 * 500);
             let parts = [0, 1, 2].map(|index: usize| plan.part(&regions[index]));
             let sum: f64 = parts.iter().sum();
             prop_assert!((sum - 1.0).abs() < 1e-6, "{parts:?}");
@@ -144,7 +144,7 @@
             let moved: f64 = (0..3)
                 .map(|index| (mean(after, index) - mean(before, index)).max(0.0))
                 .sum();
-            prop_assert!(moved <= MOST_SHIFT, "{before:?} to {after:?}");
+            prop_assert!(moved <= MAX_SHIFT, "{before:?} to {after:?}");
         }
     }
 }
@@ -160,7 +160,7 @@
     let mut plan = RegionPlan::default();
     let both = [room("west", 10.0, 50.0), room("north", 10.0, 50.0)];
     plan.advance(&west, &both, 0.15, 1);
-    assert!(plan.part(&west) > 0.99, "it keeps what it has room for");
+    assert!(plan.part(&west) > 0.99, "it keeps the requests that it has room for");
     let lost = [room("west", 0.0, 50.0), room("north", 10.0, 50.0)];
     plan.advance(&west, &lost, 0.15, 2);
     assert_eq!(plan.part(&west), 0.0);
@@ -187,19 +187,19 @@
 fn demand_is_a_sample_and_what_was_not_heard_is_not_taken_for_nothing() {
     let [west, north, south] = ["west", "north", "south"].map(Region::new);
     let mut sample = DemandSample::default();
-    for heard in [Some(10.0), Some(20.0), None, None] {
-        sample.add(&west, heard);
+    for reported in [Some(10.0), Some(20.0), None, None] {
+        sample.add(&west, reported);
     }
     sample.add(&north, Some(30.0));
     sample.add(&south, None);
     let demand = sample.by_region();
-    assert_eq!(demand[&west], 60.0, "two heard of four boxes");
+    assert_eq!(demand[&west], 60.0, "two of four boxes reported");
     assert_eq!(demand[&north], 30.0);
-    assert_eq!(demand[&south], 45.0, "as the others on average");
+    assert_eq!(demand[&south], 45.0, "the average of the other regions");
 }
 
-/// Plans go by the average of minutes, but a region that asks for far more than its
-/// average isn't kept waiting for it.
+/// Plans follow the average over minutes, but a region whose demand is far above its average
+/// doesn't have to wait for that.
 #[test]
 fn averaged_demand_follows_minutes_and_bounds_what_departs_from_them() {
     let (west, north) = (Region::new("west"), Region::new("north"));
@@ -218,9 +218,9 @@
     assert!((0.59..0.61).contains(&minutes), "{minutes}");
 }
 
-/// What another box tells of its load is data from outside: no number stops the plan.
+/// The load reported by another box is untrusted input: no number breaks the plan.
 #[test]
-fn a_load_that_is_no_number_counts_as_not_heard() {
+fn an_invalid_load_counts_as_not_reported() {
     let (west, north) = (Region::new("west"), Region::new("north"));
     for odd in [f32::NAN, f32::INFINITY, -1.0] {
         let mut sample = DemandSample::default();
