--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -11,20 +11,20 @@
 
 mod message;
 mod record;
-mod status;
 mod sender;
+mod status;
 
 pub use message::{ReportError, RunReport, ToldRun};
 pub use record::{BrokenRun, Suspect, Verdict};
-pub use status::ShutOutStatus;
 pub use sender::QuarantineBox;
+pub use status::ShutOutStatus;
 
 use crate::request_digest::{RequestDigest, RequestShape};
 use brasswinch_types::{BoxId, Millis, Workspace};
 use record::{Level, Record};
+use sender::ReportSender;
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
-use sender::ReportSender;
 
 /// Number of sequential crashes from which a request is suspected. Any request may be running when
 /// its upstream ends; a second crash at another upstream is rare.
@@ -102,7 +102,13 @@
     }
 
     /// Records that an upstream ended under the request at this box.
-    pub fn broke(&mut self, digest: RequestDigest, suspect: &Suspect, crash: BrokenRun, now: Millis) {
+    pub fn broke(
+        &mut self,
+        digest: RequestDigest,
+        suspect: &Suspect,
+        crash: BrokenRun,
+        now: Millis,
+    ) {
         self.record(digest, suspect).add_crash(crash);
         self.publish_change(digest, true, now);
     }
--- a/crates/routing/src/quarantine/sender.rs
+++ b/crates/routing/src/quarantine/sender.rs
@@ -90,7 +90,11 @@
     }
 
     /// Whether this box coordinates the request when the boxes in `without` are left out.
-    pub(super) fn is_coordinator_without(&self, digest: RequestDigest, without: &[QuarantineBox]) -> bool {
+    pub(super) fn is_coordinator_without(
+        &self,
+        digest: RequestDigest,
+        without: &[QuarantineBox],
+    ) -> bool {
         let own = score(digest, &self.me);
         let others = self.others.iter().filter(|peer| !without.contains(peer));
         let higher = others.filter(|peer| score(digest, &peer.id) > own);
@@ -152,11 +156,14 @@
         }
         let count = self.queue.len().min(MAX_DATAGRAMS_PER_CALL);
         let outgoing = self.queue.drain(..count);
-        outgoing.map(|mut outgoing| {
-            outgoing.report.age_by(now.saturating_sub(outgoing.created_at));
-            (outgoing.to, outgoing.report)
-        })
-        .collect()
+        outgoing
+            .map(|mut outgoing| {
+                outgoing
+                    .report
+                    .age_by(now.saturating_sub(outgoing.created_at));
+                (outgoing.to, outgoing.report)
+            })
+            .collect()
     }
 }
 
--- a/crates/routing/src/quota/coordinator.rs
+++ b/crates/routing/src/quota/coordinator.rs
@@ -1,6 +1,6 @@
 //! The coordinator's side of quotas: counts requests and grants them.
 
-use super::loan::{ReceivedLoans, LEASE_MS};
+use super::loan::{LEASE_MS, ReceivedLoans};
 use super::{QuotaBounds, QuotaCount, QuotaWord};
 use crate::refusals::Refusals;
 use crate::token_bucket::{Filling, TokenBucket};
@@ -161,7 +161,8 @@
             rate_per_s: limit.rate_per_s * fractions.rate,
             capacity: (capacity * fractions.capacity).max(1.0),
         };
-        let initial_level = (overage * INITIAL_FRACTION * self.reachable_fraction).clamp(MIN_INITIAL_TOKENS, filling.capacity);
+        let initial_level = (overage * INITIAL_FRACTION * self.reachable_fraction)
+            .clamp(MIN_INITIAL_TOKENS, filling.capacity);
         let counter = self.counters.entry(count.workspace.clone());
         let counter = counter.or_insert_with(|| QuotaCounter {
             bucket: TokenBucket::new(initial_level, now),
@@ -180,14 +181,17 @@
         if let Some(loan) = count.loan {
             counter.loans.add(from, loan, now);
         }
-        counter.refusals.count(f64::from(count.refused_locally), now);
+        counter
+            .refusals
+            .count(f64::from(count.refused_locally), now);
         let is_granted = counter.count(count, now);
         let was_near_limit = counter.is_near_limit;
         counter.update_near_limit(filling);
         if counter.is_near_limit && !was_near_limit {
             counter.near_limit_since = now;
             counter.broadcast_at = now;
-            self.broadcasts.push(QuotaWord::near_limit(&count.workspace, now));
+            self.broadcasts
+                .push(QuotaWord::near_limit(&count.workspace, now));
         }
         QuotaWord {
             id: count.id,
--- a/crates/routing/src/quota/loan.rs
+++ b/crates/routing/src/quota/loan.rs
@@ -58,7 +58,9 @@
     /// Returns the loan to attach to a message to the coordinator at `to`; `None` where the share
     /// is lent to another one, or no recent reply came from `to`.
     pub(super) fn lend(&mut self, to: SocketAddr, boxes: usize, now: Millis) -> Option<QuotaLoan> {
-        let last_reply = self.last_reply.filter(|last_reply| last_reply.address == to)?;
+        let last_reply = self
+            .last_reply
+            .filter(|last_reply| last_reply.address == to)?;
         let expires_at = last_reply.received_at + LEASE_MS;
         let is_lent_elsewhere = self.is_lent(now) && self.lent_to != Some(to);
         if now >= expires_at || is_lent_elsewhere {
@@ -105,7 +107,13 @@
             return;
         }
         let fraction = 1.0 / f64::from(loan.boxes);
-        self.loans.insert(from, ReceivedLoan { expires_at, fraction });
+        self.loans.insert(
+            from,
+            ReceivedLoan {
+                expires_at,
+                fraction,
+            },
+        );
     }
 
     /// Returns the fraction of the quota that is on loan now.
--- a/crates/routing/src/quota/local.rs
+++ b/crates/routing/src/quota/local.rs
@@ -214,7 +214,8 @@
         let seconds = 1.0 / (even_rate * LOCAL_RATE_FRACTION).max(f64::MIN_POSITIVE);
         let loan_ends_in_ms = self.lending.lent_until().saturating_sub(now);
         Admission::Refuse {
-            retry_after_ms: loan_ends_in_ms.max((seconds * 1_000.0).min(MAX_LOCAL_RETRY_AFTER_MS) as Millis),
+            retry_after_ms: loan_ends_in_ms
+                .max((seconds * 1_000.0).min(MAX_LOCAL_RETRY_AFTER_MS) as Millis),
         }
     }
 }
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -28,8 +28,8 @@
 
 mod coordinator;
 mod loan;
-mod message;
 mod local;
+mod message;
 mod status;
 
 use crate::fleet_size::KnownSize;
@@ -40,8 +40,8 @@
 use coordinator::QuotaCoordinator;
 use loan::LEASE_MS;
 pub use loan::QuotaLoan;
-pub use message::{QuotaCount, QuotaWord};
 use local::LocalQuota;
+pub use message::{QuotaCount, QuotaWord};
 pub use status::QuotaStatus;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -186,7 +186,8 @@
         let coordinated: Vec<Workspace> = self.coordinated.workspaces().cloned().collect();
         for workspace in coordinated {
             let is_coordinator = self.is_coordinator(&workspace);
-            self.coordinated.set_is_coordinator(&workspace, is_coordinator);
+            self.coordinated
+                .set_is_coordinator(&workspace, is_coordinator);
         }
     }
 
@@ -208,18 +209,22 @@
     /// Returns the coordinator of `workspace`; `None` while no serving box is known.
     pub fn coordinator(&mut self, workspace: &Workspace) -> Option<&QuotaBox> {
         let boxes = &self.boxes;
-        let coordinator = self.coordinators.entry(workspace.clone()).or_insert_with(|| {
-            let object = object_hash("workspace", workspace.as_str().as_bytes());
-            let score = |(_, hash): &&(QuotaBox, u64)| weighted_score(object, *hash, 1.0);
-            let highest = boxes.iter().max_by(|a, b| score(a).total_cmp(&score(b)))?;
-            Some(highest.0.clone())
-        });
+        let coordinator = self
+            .coordinators
+            .entry(workspace.clone())
+            .or_insert_with(|| {
+                let object = object_hash("workspace", workspace.as_str().as_bytes());
+                let score = |(_, hash): &&(QuotaBox, u64)| weighted_score(object, *hash, 1.0);
+                let highest = boxes.iter().max_by(|a, b| score(a).total_cmp(&score(b)))?;
+                Some(highest.0.clone())
+            });
         coordinator.as_ref()
     }
 
     fn is_coordinator(&mut self, workspace: &Workspace) -> bool {
         let me = self.me.clone();
-        self.coordinator(workspace).is_some_and(|coordinator| coordinator.id == me)
+        self.coordinator(workspace)
+            .is_some_and(|coordinator| coordinator.id == me)
     }
 
     /// Decides whether a request of `workspace` may be sent. `id` identifies the request; `random`
@@ -292,7 +297,9 @@
             return None;
         }
         let sharing_boxes = self.sharing_boxes();
-        self.local_quotas.get_mut(workspace)?.lend(to, sharing_boxes, now)
+        self.local_quotas
+            .get_mut(workspace)?
+            .lend(to, sharing_boxes, now)
     }
 
     /// Admits a request where this box, at `address`, is the coordinator.
@@ -334,7 +341,10 @@
         random: f64,
         now: Millis,
     ) -> Admission {
-        let local = self.local_quotas.entry(reply.workspace.clone()).or_default();
+        let local = self
+            .local_quotas
+            .entry(reply.workspace.clone())
+            .or_default();
         local.handle_reply(reply, from, now);
         if reply.is_granted {
             local.count_sent();
@@ -376,7 +386,10 @@
         now: Millis,
     ) -> Option<ToKeeper> {
         let coordinator = self.coordinator(&reply.workspace)?.address;
-        let local = self.local_quotas.entry(reply.workspace.clone()).or_default();
+        let local = self
+            .local_quotas
+            .entry(reply.workspace.clone())
+            .or_default();
         local.set_coordinator(Some(coordinator));
         local.handle_reply(reply, from, now);
         if reply.id != 0 || coordinator != from {
@@ -449,14 +462,19 @@
 
     /// Returns the addresses of the other boxes.
     pub fn others(&self) -> impl Iterator<Item = SocketAddr> {
-        let others = self.boxes.iter().filter(|(quota_box, _)| quota_box.id != self.me);
+        let others = self
+            .boxes
+            .iter()
+            .filter(|(quota_box, _)| quota_box.id != self.me);
         others.map(|(quota_box, _)| quota_box.address)
     }
 
     /// Removes workspaces that no longer have a quota.
     pub fn retain(&mut self, is_limited: impl Fn(&Workspace) -> bool) {
-        self.local_quotas.retain(|workspace, _| is_limited(workspace));
-        self.coordinators.retain(|workspace, _| is_limited(workspace));
+        self.local_quotas
+            .retain(|workspace, _| is_limited(workspace));
+        self.coordinators
+            .retain(|workspace, _| is_limited(workspace));
         self.coordinated.retain(is_limited);
     }
 
--- a/crates/routing/src/upstream_limits/coordinator.rs
+++ b/crates/routing/src/upstream_limits/coordinator.rs
@@ -147,14 +147,17 @@
         if self.counters.len() >= MAX_LIMITS && !self.counters.contains_key(life) {
             return None;
         }
-        let counter = self.counters.entry(life.clone()).or_insert_with(|| LimitCounter {
-            limit,
-            bucket: TokenBucket::new(0.0, now),
-            refusals: Refusals::default(),
-            is_broadcast: false,
-            takeover_until: now + takeover_ms,
-            queried_at: now,
-        });
+        let counter = self
+            .counters
+            .entry(life.clone())
+            .or_insert_with(|| LimitCounter {
+                limit,
+                bucket: TokenBucket::new(0.0, now),
+                refusals: Refusals::default(),
+                is_broadcast: false,
+                takeover_until: now + takeover_ms,
+                queried_at: now,
+            });
         Some(counter)
     }
 }
--- a/crates/routing/src/upstream_limits/mod.rs
+++ b/crates/routing/src/upstream_limits/mod.rs
@@ -302,7 +302,10 @@
             is_from_coordinator: true,
             ..update.clone()
         };
-        let others = self.boxes.iter().filter(|(limit_box, _)| limit_box.id != self.me);
+        let others = self
+            .boxes
+            .iter()
+            .filter(|(limit_box, _)| limit_box.id != self.me);
         let outgoing = others.map(|(limit_box, _)| (limit_box.address, update.clone()));
         self.outgoing.extend(outgoing);
     }
@@ -336,7 +339,10 @@
         is_candidate: impl Fn(&LimitBox) -> bool,
     ) -> Option<&LimitBox> {
         let upstream = object_hash("limit", life.upstream.as_str().as_bytes());
-        let candidates = self.boxes.iter().filter(|(limit_box, _)| is_candidate(limit_box));
+        let candidates = self
+            .boxes
+            .iter()
+            .filter(|(limit_box, _)| is_candidate(limit_box));
         let score = |hash: u64| weighted_score(upstream, hash, 1.0);
         let highest = candidates.max_by(|(_, a), (_, b)| score(*a).total_cmp(&score(*b)));
         highest.map(|(limit_box, _)| limit_box)
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -143,11 +143,21 @@
             );
             fleet.deliver_reports(&[unreachable], began + 101);
         }
-        assert!(fleet.quarantined_count("/a", 1_501) >= 11, "without box {unreachable}");
+        assert!(
+            fleet.quarantined_count("/a", 1_501) >= 11,
+            "without box {unreachable}"
+        );
         // The change is broadcast again.
-        fleet.boxes.iter_mut().for_each(|quarantine| quarantine.tick(1_900));
+        fleet
+            .boxes
+            .iter_mut()
+            .for_each(|quarantine| quarantine.tick(1_900));
         fleet.deliver_reports(&[], 1_900);
-        assert_eq!(fleet.quarantined_count("/a", 1_900), 12, "without box {unreachable}");
+        assert_eq!(
+            fleet.quarantined_count("/a", 1_900),
+            12,
+            "without box {unreachable}"
+        );
     }
 }
 
@@ -258,7 +268,10 @@
         quarantine.broke(digest("/a"), &suspect, crash, now);
         match quarantine.verdict(digest("/a"), now) {
             Verdict::ShutOut { for_ms } => {
-                assert!(for_ms >= last_for_ms && for_ms <= MAX_QUARANTINE_MS, "{for_ms}");
+                assert!(
+                    for_ms >= last_for_ms && for_ms <= MAX_QUARANTINE_MS,
+                    "{for_ms}"
+                );
                 last_for_ms = for_ms;
                 now += for_ms;
                 quarantine.tick(now);
@@ -270,7 +283,8 @@
     assert!(last_for_ms > 0);
     let events = quarantine.take_news();
     assert!(
-        events.iter()
+        events
+            .iter()
             .any(|event| event.change == QuarantineChange::LetOut)
     );
     quarantine.tick(now + 2 * MAX_QUARANTINE_MS);
@@ -353,7 +367,10 @@
             report(vec![reported(9, 8); 7], None),
             ReportError::TooManyCrashes(7),
         ),
-        (report(vec![reported(8, 9)], None), ReportError::EndedBeforeBegin),
+        (
+            report(vec![reported(8, 9)], None),
+            ReportError::EndedBeforeBegin,
+        ),
         (
             report(vec![reported(century, 9)], None),
             ReportError::TooOld(century),
--- a/crates/routing/tests/quota_loans.rs
+++ b/crates/routing/tests/quota_loans.rs
@@ -90,7 +90,12 @@
     let (mut quotas, coordinator) = box_and_coordinator();
     let first = ask(&mut quotas, SETTLED_AT_MS);
     assert_eq!(first.count.loan, None, "no reply of the coordinator yet");
-    quotas.answered(&reply(first.count.id, 70), coordinator, 0.5, SETTLED_AT_MS + 10);
+    quotas.answered(
+        &reply(first.count.id, 70),
+        coordinator,
+        0.5,
+        SETTLED_AT_MS + 10,
+    );
     let loan = ask(&mut quotas, SETTLED_AT_MS + 20).count.loan.unwrap();
     assert_eq!(
         loan,
@@ -100,7 +105,9 @@
         }
     );
     let remaining: Vec<QuotaBox> = (0..10).map(quota_box).collect();
-    let remaining = remaining.into_iter().filter(|held| held.address != coordinator);
+    let remaining = remaining
+        .into_iter()
+        .filter(|held| held.address != coordinator);
     quotas.set_boxes(remaining.collect(), 9, SETTLED_AT_MS + 30);
     let next = quotas.coordinator(&workspace()).unwrap().address;
     for now in [SETTLED_AT_MS + 40, SETTLED_AT_MS + 700] {
@@ -127,7 +134,12 @@
 fn a_box_does_not_use_its_share_while_it_is_lent() {
     let (mut quotas, coordinator) = box_and_coordinator();
     let first = ask(&mut quotas, SETTLED_AT_MS);
-    quotas.answered(&reply(first.count.id, 70), coordinator, 0.5, SETTLED_AT_MS + 10);
+    quotas.answered(
+        &reply(first.count.id, 70),
+        coordinator,
+        0.5,
+        SETTLED_AT_MS + 10,
+    );
     let asked = ask(&mut quotas, SETTLED_AT_MS + 20);
     let again = quotas.unanswered(asked, LIMIT, false, SETTLED_AT_MS + 80);
     let Admission::Ask(asked) = again else {
--- a/crates/routing/tests/quotas.rs
+++ b/crates/routing/tests/quotas.rs
@@ -244,7 +244,11 @@
                 let (now, view) = (self.now, &mut self.boxes[index].views[other]);
                 if view.2 != is_reachable {
                     // A new box is discovered sooner than a missing one.
-                    let delay = if is_reachable { detection_ms / 6 } else { detection_ms };
+                    let delay = if is_reachable {
+                        detection_ms / 6
+                    } else {
+                        detection_ms
+                    };
                     *view = (view.0, now + delay, is_reachable);
                 }
                 if now >= view.1 {
@@ -306,7 +310,9 @@
             Some(place) => {
                 model_box.pending.remove(place);
                 let random = self.random.random();
-                let admission = model_box.quotas.answered(reply, address(from), random, self.now);
+                let admission = model_box
+                    .quotas
+                    .answered(reply, address(from), random, self.now);
                 self.apply(index, admission, false);
             }
             None => {
@@ -330,9 +336,10 @@
                 }
                 let pending = model_box.pending.pop_front().unwrap();
                 let (limit, is_last) = (self.limit, pending.is_last);
-                let admission = model_box
-                    .quotas
-                    .unanswered(pending.question, limit, is_last, self.now);
+                let admission =
+                    model_box
+                        .quotas
+                        .unanswered(pending.question, limit, is_last, self.now);
                 self.apply(index, admission, true);
             }
         }
@@ -469,7 +476,10 @@
         requests += model.requested;
         refused += model.refused;
     }
-    assert!(refused * 1_000 <= requests, "{refused} of {requests} requests refused");
+    assert!(
+        refused * 1_000 <= requests,
+        "{refused} of {requests} requests refused"
+    );
 }
 
 #[test]
--- a/crates/routing/tests/quotas_in_cuts.rs
+++ b/crates/routing/tests/quotas_in_cuts.rs
@@ -128,7 +128,9 @@
             if reach_each_other(index, other) {
                 return discovery_ms;
             }
-            HEALS_AT_MS + discovery_ms + zone_discovery_ms[zone(index)].max(zone_discovery_ms[zone(other)])
+            HEALS_AT_MS
+                + discovery_ms
+                + zone_discovery_ms[zone(index)].max(zone_discovery_ms[zone(other)])
         };
         Self {
             quotas: Quotas::new(quota_box(index).id, BOUNDS),
@@ -147,7 +149,8 @@
         let zone_discovery_ms: Vec<u64> = (0..ZONES)
             .map(|_| random.random_range(ZONE_DISCOVERY_MS))
             .collect();
-        let boxes = (0..BOXES).map(|index| ModelBox::new(index, store, &zone_discovery_ms, &mut random));
+        let boxes =
+            (0..BOXES).map(|index| ModelBox::new(index, store, &zone_discovery_ms, &mut random));
         let mut model = Self {
             boxes: boxes.collect(),
             random,
@@ -199,7 +202,9 @@
         if (index / ZONES).is_multiple_of(BOXES_PER_STORE_READER) {
             model_box.fleet_size.recorded(recorded);
         }
-        model_box.quotas.set_fleet_size(model_box.fleet_size.known(now));
+        model_box
+            .quotas
+            .set_fleet_size(model_box.fleet_size.known(now));
         let boxes = serving.into_iter().map(quota_box).collect();
         model_box.quotas.set_boxes(boxes, others.len() + 1, now);
     }
@@ -236,13 +241,17 @@
         let mut pending = model_box.pending.iter();
         let place = pending.position(|pending| pending.question.count.id == reply.id);
         let Some(place) = place else {
-            let outgoing = model_box.quotas.hear_word(reply, address(from), LIMIT, self.now);
+            let outgoing = model_box
+                .quotas
+                .hear_word(reply, address(from), LIMIT, self.now);
             self.send_count(index, outgoing);
             return;
         };
         model_box.pending.remove(place);
         let random = self.random.random();
-        let admission = model_box.quotas.answered(reply, address(from), random, self.now);
+        let admission = model_box
+            .quotas
+            .answered(reply, address(from), random, self.now);
         self.apply(index, admission, true);
     }
 
@@ -250,7 +259,9 @@
         for index in 0..BOXES {
             let now = self.now;
             let model_box = &mut self.boxes[index];
-            let over = model_box.pending.extract_if(.., |pending| pending.until <= now);
+            let over = model_box
+                .pending
+                .extract_if(.., |pending| pending.until <= now);
             for pending in over.collect::<Vec<_>>() {
                 let quotas = &mut self.boxes[index].quotas;
                 let admission = quotas.unanswered(pending.question, LIMIT, pending.is_last, now);
@@ -362,5 +373,8 @@
     let served = model.runs.iter().filter(|at| **at >= SETTLED_MS).count() as f64;
     let seconds = (END_MS - SETTLED_MS) as f64 / 1_000.0;
     let requested = LIMIT.rate_per_s * USUAL_FRACTION * seconds;
-    assert!(served >= 0.9 * requested, "{served} of {requested} requests served");
+    assert!(
+        served >= 0.9 * requested,
+        "{served} of {requested} requests served"
+    );
 }
--- a/crates/routing/tests/shared_bounds.rs
+++ b/crates/routing/tests/shared_bounds.rs
@@ -160,7 +160,10 @@
     let mut plan = RegionPlan::default();
     let both = [room("west", 10.0, 50.0), room("north", 10.0, 50.0)];
     plan.advance(&west, &both, 0.15, 1);
-    assert!(plan.part(&west) > 0.99, "it keeps the requests that it has room for");
+    assert!(
+        plan.part(&west) > 0.99,
+        "it keeps the requests that it has room for"
+    );
     let lost = [room("west", 0.0, 50.0), room("north", 10.0, 50.0)];
     plan.advance(&west, &lost, 0.15, 2);
     assert_eq!(plan.part(&west), 0.0);
--- a/crates/routing/tests/upstream_limits.rs
+++ b/crates/routing/tests/upstream_limits.rs
@@ -312,7 +312,10 @@
     /// Informs all boxes of a change, each after its own delay.
     fn schedule_membership_updates(&mut self, min_delay_ms: Millis) {
         for at_box in 0..self.boxes.len() {
-            let at = self.now + self.random.random_range(min_delay_ms..=MAX_DETECTION_MS.max(min_delay_ms + 1));
+            let at = self.now
+                + self
+                    .random
+                    .random_range(min_delay_ms..=MAX_DETECTION_MS.max(min_delay_ms + 1));
             self.schedule(at, Event::UpdateMembership { at_box });
         }
     }
@@ -351,7 +354,12 @@
                 self.boxes[coordinator].frozen_until = until;
                 self.boxes[coordinator].is_excused = true;
                 self.schedule_membership_updates(300);
-                self.schedule(until, Event::Wakes { at_box: coordinator });
+                self.schedule(
+                    until,
+                    Event::Wakes {
+                        at_box: coordinator,
+                    },
+                );
             }
             (Fault::CoordinatorLeaves, 0) => {
                 let coordinator = self.coordinator();
@@ -731,7 +739,10 @@
         for limits in [&first, &coordinator, &other] {
             assert_eq!(limits.limit(&life()), declared);
         }
-        assert!(other.take_news().is_empty(), "a box that receives a broadcast sends nothing");
+        assert!(
+            other.take_news().is_empty(),
+            "a box that receives a broadcast sends nothing"
+        );
     }
 }
 
