--- a/crates/routing/src/change.rs
+++ b/crates/routing/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of what is known, each with the store's revision that made it.
+//! Changes of the store's entries, each with the store revision that made it.
 
 use crate::config::SteeringConfig;
 use crate::config_patch::ConfigPatch;
@@ -7,13 +7,13 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A count of the store's changes; later changes have larger ones.
+/// The store's change counter; later changes have larger revisions.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Revision(pub u64);
 
-/// The two parts of the store that are followed, each by itself.
+/// The two parts of the store; each is followed separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Scope {
     /// The configuration and evacuations.
@@ -22,7 +22,7 @@
     Upstreams,
 }
 
-/// What a change is about. The last change of a key counts.
+/// The key of a change. The latest change of a key applies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ChangeKey {
     /// The configuration.
@@ -34,7 +34,7 @@
 }
 
 impl ChangeKey {
-    /// The part of the store that holds it.
+    /// Returns the part of the store that holds the key.
     pub fn scope(&self) -> Scope {
         match self {
             Self::Config | Self::Evacuation(_) => Scope::Operator,
@@ -43,26 +43,26 @@
     }
 }
 
-/// What became of a key.
+/// The new value of a key, or its removal.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
     /// The configuration was replaced.
     Config(Arc<SteeringConfig>),
-    /// The configuration was changed, in these steps, from a version that a box holds;
-    /// none, if it holds the newest. Only boxes tell each other this.
+    /// The patches that lead from the configuration that a box holds to the newest one; empty if
+    /// it holds the newest. Sent between boxes only.
     ConfigPatched(Vec<Arc<ConfigPatch>>),
-    /// A zone is to get nothing more.
+    /// A zone was evacuated and must receive no more requests.
     Evacuated(Zone),
-    /// An upstream wrote its entry.
+    /// An upstream's entry was written.
     Upstream(UpstreamRecord),
-    /// An upstream's entry was written, and it names no upstream that can be used.
+    /// An upstream's entry was written, but describes no usable upstream.
     Unreadable(UpstreamId),
-    /// The key is no longer there.
+    /// The key was removed.
     Gone(ChangeKey),
 }
 
 impl Change {
-    /// What the change is about.
+    /// Returns the key of the change.
     pub fn key(&self) -> ChangeKey {
         match self {
             Self::Config(_) | Self::ConfigPatched(_) => ChangeKey::Config,
@@ -77,14 +77,14 @@
 /// A change and its revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Revised {
-    /// The revision that made it.
+    /// The store revision of the change.
     pub revision: Revision,
     /// The change.
     pub change: Change,
 }
 
-/// All entries of a scope. A key that is missing and whose last change is not later
-/// than `at` is gone.
+/// All entries of a scope as of `at`. A key that isn't listed and was last changed at or before
+/// `at` has been removed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The part of the store.
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -1,26 +1,26 @@
-//! The one configuration of routes and services that operators write whole.
+//! The configuration of routes, services and workspaces, which operators write as a whole.
 
 use crate::workspace::{KeyDigest, Rank, WorkspaceConfig};
 use brasswinch_types::{Region, Service, Workspace};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Longest time that a setting may ask for, in seconds: a day. Longer ones mean it.
+/// Longest duration in a setting, in seconds: one day. Longer ones in documents are cut to it.
 pub const LONGEST_TIME_S: f64 = 86_400.0;
 
-/// Largest weight of a part of a division.
+/// Largest weight of a back end.
 const MOST_WEIGHT: f64 = 1e12;
 
-/// Highest rate that a service or a workspace may be given, in requests a second.
+/// Highest rate of a service or a workspace, in requests per second, and largest burst.
 const MOST_RATE_PER_S: f64 = 1e9;
 
-/// Versions are compared as numbers; a higher one is newer.
+/// The version of a configuration; a higher number is newer.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct ConfigVersion(pub u64);
 
-/// What may be done again with a request of a route.
+/// How often the requests of a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RouteKind {
     /// May run more than once.
@@ -32,74 +32,74 @@
 }
 
 impl RouteKind {
-    /// Whether a request may be sent again after it may have run.
+    /// Returns whether a request may be sent again after it may have run.
     pub fn is_repeatable(self) -> bool {
         self == Self::Repeatable
     }
 }
 
-/// One of the services among which a route's requests are divided.
+/// One of the services among which a route's requests are split.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Backend {
     /// The service.
     pub service: Service,
-    /// Its part of the requests, against the sum of all parts.
+    /// Its share of the requests, relative to the sum of all weights.
     pub weight: f64,
 }
 
-/// A route: which requests it takes and how they are treated.
+/// A route: the requests that it matches and how they are handled.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// The operator's name for it.
     pub name: String,
-    /// The host it belongs to, in lower case.
+    /// The host of its requests, in lower case.
     pub host: String,
-    /// Begins the paths it takes; begins and ends with a slash.
+    /// The prefix of the paths that it matches; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done again.
+    /// How often its requests may run.
     pub kind: RouteKind,
-    /// Longest time that a request is held, in seconds; `None` leaves it to the client.
+    /// Request timeout, in seconds; `None` leaves it to the client.
     pub timeout_s: Option<f64>,
-    /// Time within which an answer is worth most, in seconds.
+    /// Target response time, in seconds.
     pub latency_goal_s: f64,
-    /// Rank among the routes of a service; 0 is highest.
+    /// Priority among the routes of a service; 0 is the highest.
     pub priority: u32,
-    /// Where its requests go.
+    /// The services that its requests go to.
     pub backends: Vec<Backend>,
     /// Most upstreams that a request may be sent to.
     pub max_attempts: u32,
-    /// Whether an upstream works faster on objects that it has seen.
+    /// Whether an upstream handles objects faster that it has handled before.
     pub sticky: bool,
-    /// The only regions where its requests may go; empty allows all.
+    /// The regions that its requests may go to; empty allows all.
     pub allowed_regions: BTreeSet<Region>,
     /// Whether requests need no key.
     pub is_public: bool,
 }
 
-/// What operators say of a service.
+/// The operators' settings of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceConfig {
-    /// Connections that an upstream takes from all callers together.
+    /// Most connections that an upstream accepts from all callers together.
     pub max_connections: u32,
     /// How long an upstream stays cold after its start, in seconds.
     pub cold_period_s: f64,
-    /// Requests a second that a cold upstream bears.
+    /// Requests per second that a cold upstream can handle.
     pub cold_per_s: f64,
-    /// Where upstreams tell how they are when they are asked; empty where they don't.
+    /// Path of the upstreams' health check; empty if they have none.
     #[serde(default)]
     pub health_path: String,
 }
 
-/// What a client may send, and how long it may take.
+/// Limits on the size and duration of clients' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClientLimits {
-    /// Longest head, in bytes.
+    /// Longest request head, in bytes.
     pub max_header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Longest request body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time for a head, in seconds.
+    /// Longest time to receive a request head, in seconds.
     pub header_timeout_s: f64,
-    /// Longest rest of a kept connection, in seconds.
+    /// Longest idle time of a kept-alive connection, in seconds.
     pub idle_timeout_s: f64,
 }
 
@@ -129,7 +129,7 @@
     pub limits: ClientLimits,
 }
 
-/// Why a configuration can't be used.
+/// Reasons why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ConfigError {
     /// A route has no host.
@@ -143,28 +143,28 @@
         /// Its prefix.
         prefix: String,
     },
-    /// A route names a service that isn't there.
-    #[error("route {route} goes to {service}, which is not a service")]
+    /// A route names a service that isn't configured.
+    #[error("route {route} names the unknown service {service}")]
     UnknownService {
         /// The route.
         route: String,
         /// The service.
         service: Service,
     },
-    /// A route goes nowhere.
-    #[error("route {0} has no service with a weight over 0")]
+    /// A route has no service with a weight above 0.
+    #[error("route {0} has no service with a weight above 0")]
     NoBackend(String),
-    /// A number is negative, or too large to be meant.
-    #[error("{field} of {owner} is {value}")]
+    /// A number is negative, too large or not a number.
+    #[error("{field} of {owner} is {value}, which is out of range")]
     OddNumber {
         /// The route, service or workspace, or `limits`.
         owner: String,
-        /// Which number.
+        /// The setting.
         field: &'static str,
-        /// What it is.
+        /// Its value.
         value: f64,
     },
-    /// Two routes take the same requests.
+    /// Two routes match the same requests.
     #[error("routes {first} and {second} have the same host and prefix")]
     SamePlace {
         /// One route.
@@ -172,8 +172,8 @@
         /// The other.
         second: String,
     },
-    /// A workspace's name is empty or has characters that no header carries.
-    #[error("a workspace has the name {0:?}, which no upstream can be told")]
+    /// A workspace's name is empty or has characters that a header can't carry.
+    #[error("workspace name {0:?} is empty or can't be sent in a header")]
     WorkspaceName(Workspace),
     /// Two workspaces hold the same key.
     #[error("workspaces {first} and {second} hold the same key")]
@@ -186,7 +186,7 @@
 }
 
 impl SteeringConfig {
-    /// Finds the first thing that makes the configuration unusable.
+    /// Checks that the configuration is usable, and fails with the first problem found.
     pub fn check(&self) -> Result<(), ConfigError> {
         let mut places: BTreeMap<(&str, &str), &str> = BTreeMap::new();
         for route in &self.routes {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// A key that two workspaces hold would let one act as the other.
+    /// Checks that no two workspaces share a key: one could act as the other.
     fn check_keys(&self) -> Result<(), ConfigError> {
         let mut holders: HashMap<KeyDigest, &Workspace> = HashMap::new();
         for (name, workspace) in &self.workspaces {
@@ -258,8 +258,8 @@
         check_number("limits", "idle time", limits.idle_timeout_s, LONGEST_TIME_S)
     }
 
-    /// The rank of the most urgent requests for `service`: of the most urgent route that goes
-    /// there and the most urgent workspace.
+    /// Returns the rank of the most urgent requests for `service`: that of the most urgent route
+    /// to it and the most urgent workspace.
     pub fn most_urgent(&self, service: &Service) -> Rank {
         let goes_there = |route: &&Route| {
             let mut backends = route.backends.iter();
--- a/crates/routing/src/config_patch.rs
+++ b/crates/routing/src/config_patch.rs
@@ -1,5 +1,5 @@
-//! What one version of the configuration changes against another, so that boxes tell each
-//! other a change and not thousands of routes and keys that stayed as they were.
+//! Differences between two versions of the configuration. Boxes send each other these instead
+//! of thousands of unchanged routes and keys.
 
 use crate::config::{ClientLimits, ConfigVersion, Route, ServiceConfig, SteeringConfig};
 use crate::workspace::WorkspaceConfig;
@@ -9,22 +9,22 @@
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Patches that are kept for boxes that are behind, at most. A storm of changes brings one
-/// each third of a second, and a box is seconds behind; who lacks more gets it whole.
+/// Most patches kept for boxes that are behind. A burst of changes adds three per second, and
+/// boxes are a few seconds behind; one that is further behind gets the whole configuration.
 const KEPT_PATCHES: usize = 32;
 
-/// Names one configuration: what it says, besides its version. A patch is for what a box
-/// really holds, and boxes may have read the same version differently.
+/// Identifies a configuration by its version and content. A patch applies to one exact content,
+/// and boxes may have read the same version differently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigMark {
     /// The version.
     pub version: ConfigVersion,
-    /// A hash of what it says; the order of routes doesn't matter.
+    /// A hash of the content, independent of the order of routes.
     pub digest: u64,
 }
 
 impl ConfigMark {
-    /// The mark of `config`.
+    /// Returns the fingerprint of `config`.
     pub fn of(config: &SteeringConfig) -> Self {
         let routes = config.routes.iter().map(route_digest);
         let services = config.services.iter().map(service_digest);
@@ -55,15 +55,15 @@
         allowed_regions,
     } = workspace;
     let told = format!("{name:?} {priority} {quota:?} {allowed_regions:?}");
-    // Keys are hashed one by one, for their digests aren't shown.
+    // Keys are hashed one by one, since their debug form hides the digest.
     let keys = keys.iter().map(|key| key.folded());
     let mixed = keys.map(|key| xxh3_64(&key.to_be_bytes()));
-    // Which workspace holds a key counts too.
+    // The hash also covers which workspace holds a key.
     let held = mixed.fold(xxh3_64(told.as_bytes()), u64::wrapping_add);
     xxh3_64(&held.to_be_bytes())
 }
 
-/// Which requests a route takes. No two routes of a configuration have the same place.
+/// The host and path prefix of a route, which identify it within a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RoutePlace {
     /// The host, in lower case.
@@ -81,31 +81,31 @@
     }
 }
 
-/// Makes one version of a configuration of another.
+/// The changes that turn one version of a configuration into another.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigPatch {
-    /// What it changes.
+    /// The configuration that the patch applies to.
     pub base: ConfigMark,
-    /// The version that it makes.
+    /// The version of the result.
     pub version: ConfigVersion,
-    /// Routes that are new or say something else than those in their place.
+    /// New routes, and routes that differ from those with the same host and prefix.
     pub changed_routes: Vec<Route>,
-    /// Places whose routes are gone.
+    /// Removed routes.
     pub removed_routes: BTreeSet<RoutePlace>,
-    /// Services that are new or say something else.
+    /// New or changed services.
     pub changed_services: BTreeMap<Service, ServiceConfig>,
-    /// Services that are gone.
+    /// Removed services.
     pub removed_services: BTreeSet<Service>,
-    /// Workspaces that are new or say something else.
+    /// New or changed workspaces.
     pub changed_workspaces: BTreeMap<Workspace, WorkspaceConfig>,
-    /// Workspaces that are gone.
+    /// Removed workspaces.
     pub removed_workspaces: BTreeSet<Workspace>,
-    /// The limits, whether they changed or not.
+    /// The client limits, changed or not.
     pub limits: ClientLimits,
 }
 
 impl ConfigPatch {
-    /// What makes `newer` of `base`.
+    /// Returns the patch that turns `base` into `newer`.
     pub fn between(base: &SteeringConfig, newer: &SteeringConfig) -> Self {
         let held = by_place(&base.routes);
         let wanted = by_place(&newer.routes);
@@ -129,8 +129,8 @@
         }
     }
 
-    /// The version that it makes of `base`, which has to be the one it was made for.
-    /// Routes that were added come last.
+    /// Applies the patch to `base`, which must be the configuration that it was made for. Added
+    /// routes come last.
     pub fn apply(&self, base: &SteeringConfig) -> SteeringConfig {
         let removed: HashSet<(&str, &str)> = self.removed_routes.iter().map(as_place).collect();
         let mut changed = by_place(&self.changed_routes);
@@ -161,7 +161,7 @@
         }
     }
 
-    /// Routes, services and workspaces that it names.
+    /// Returns the number of routes, services and workspaces that the patch names.
     fn len(&self) -> usize {
         let routes = self.changed_routes.len() + self.removed_routes.len();
         let services = self.changed_services.len() + self.removed_services.len();
@@ -170,7 +170,7 @@
     }
 }
 
-/// What is new in `newer`, or says something else there.
+/// Returns the entries of `newer` that are new or changed.
 fn changed<K: Ord + Clone, V: PartialEq + Clone>(
     base: &BTreeMap<K, V>,
     newer: &BTreeMap<K, V>,
@@ -182,13 +182,13 @@
         .collect()
 }
 
-/// What `newer` no longer has.
+/// Returns the names that `newer` no longer has.
 fn removed<K: Ord + Clone, V>(base: &BTreeMap<K, V>, newer: &BTreeMap<K, V>) -> BTreeSet<K> {
     let is_gone = |name: &&K| !newer.contains_key(*name);
     base.keys().filter(is_gone).cloned().collect()
 }
 
-/// `base` without what was removed and with what changed.
+/// Returns `base` without the removed entries and with the changed ones.
 fn patched<K: Ord + Clone, V: Clone>(
     base: &BTreeMap<K, V>,
     removed: &BTreeSet<K>,
@@ -200,7 +200,7 @@
     patched
 }
 
-/// A route's host and prefix, without copies.
+/// Returns a route's host and prefix, borrowed.
 fn place(route: &Route) -> (&str, &str) {
     (&route.host, &route.path_prefix)
 }
@@ -213,15 +213,16 @@
     routes.iter().map(|route| (place(route), route)).collect()
 }
 
-/// The last patches, each for the version that the one before makes. Together they name no
-/// more routes, services and workspaces than there are: more would be dearer than the whole.
+/// The latest patches, each based on the result of the one before. Together they name at most
+/// as many routes, services and workspaces as the configuration has: more would be larger than
+/// the whole configuration.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PatchHistory {
     patches: VecDeque<Arc<ConfigPatch>>,
 }
 
 impl PatchHistory {
-    /// Adds the patch that made `current`.
+    /// Adds the patch that led to `current`.
     pub(crate) fn push(&mut self, patch: Arc<ConfigPatch>, current: &SteeringConfig) {
         let last = self.patches.back();
         if last.is_some_and(|last| last.version != patch.base.version) {
@@ -238,8 +239,7 @@
         }
     }
 
-    /// The patches that make what is marked `current` of what is marked `base`; `None` if
-    /// they aren't kept.
+    /// Returns the patches that lead from `base` to `current`; `None` if they are no longer kept.
     pub(crate) fn since(
         &self,
         base: ConfigMark,
--- a/crates/routing/src/fleet_size.rs
+++ b/crates/routing/src/fleet_size.rs
@@ -1,31 +1,31 @@
-//! How many boxes share what the whole fleet may do.
+//! The number of boxes that share fleet-wide limits.
 //!
-//! A box that starts hears others one by one, and in a cut never hears some of them. Were it to
-//! take those that it hears for all, each side of a cut would spend the whole of every shared
-//! rate. So a box goes by the largest of
+//! A starting box discovers others one by one, and during a network partition it doesn't reach
+//! some of them. If it counted only the boxes that it reaches, each side of a partition would
+//! use up all of every shared rate. So a box uses the largest of
 //!
-//! * the boxes that it heard together within the last [`REMEMBERED_MS`],
-//! * the size that the store holds, which outlives all boxes,
-//! * the sizes that boxes which are heard tell of.
+//! * the most boxes that were alive at the same time within the last [`REMEMBERED_MS`],
+//! * the size recorded in the store, which outlives all boxes,
+//! * the sizes reported by boxes that are alive.
 //!
-//! A box tells others only of the first two, so that no box hears its own word again and a fleet
-//! that shrinks is known to have shrunk.
+//! A box reports only the first two to others. Otherwise boxes would report each other's old
+//! values back and forth, and a smaller fleet would never be noticed.
 
 use brasswinch_types::Millis;
 
-/// For how long boxes that are heard no more count, in milliseconds: regions lose each other for
-/// an hour now and then, and both sides serve on.
+/// How long boxes still count after they were last alive, in milliseconds: regions are at times
+/// cut off from each other for an hour, and both sides keep serving.
 pub const REMEMBERED_MS: Millis = 3_600_000;
 
-/// Until a box that nobody told of the size goes by those that it hears, in milliseconds: longer
-/// than the store is silent at times.
+/// How long a box waits for a reported size before it uses the number of live boxes, in
+/// milliseconds. This is longer than the store's occasional pauses.
 const UNKNOWN_MS: Millis = 15_000;
 
-/// Part of the size in the store that the fleet may lose before a smaller one is written. Boxes
-/// that restart one after another aren't worth a call each.
+/// The size in the store is lowered only if the fleet is smaller than this fraction of it, so
+/// that boxes that restart one after another don't cause a store call each.
 const SMALLER_PART: f64 = 0.9;
 
-/// The largest of the numbers that came within the last one to two times [`REMEMBERED_MS`].
+/// The maximum of a number over the last one to two times [`REMEMBERED_MS`].
 #[derive(Clone, Copy, Debug, Default)]
 struct Largest {
     since: Millis,
@@ -46,38 +46,38 @@
         self.now.max(self.before)
     }
 
-    /// Whether a whole span is over.
+    /// Returns whether a whole period has passed.
     fn is_complete(&self) -> bool {
         self.before > 0
     }
 }
 
-/// Where a box's idea of the fleet's size comes from.
+/// The source of a box's fleet size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum KnownSize {
-    /// Nobody told it: the boxes that were heard are taken for all.
+    /// No size was reported: the boxes seen alive are taken for the whole fleet.
     #[default]
     Heard,
-    /// Whoever knows it has yet to tell it.
+    /// No size has been reported yet, but one may still arrive.
     Awaited,
-    /// The store or another box told it: so many, whether they are heard or not.
+    /// The store or another box reported the size: the number of boxes, alive or not.
     Told(usize),
 }
 
-/// The fleet's size as one box knows it.
+/// The fleet size as one box knows it.
 #[derive(Debug, Default)]
 pub struct FleetSize {
     started_at: Option<Millis>,
     heard: Largest,
-    /// What others told; 0 where nobody did.
+    /// Sizes reported by other boxes; 0 if there are none.
     told: Largest,
-    /// What the store holds, 0 where it holds none; `None` until it was asked.
+    /// The size in the store, 0 if it has none; `None` until the store was read.
     recorded: Option<u32>,
 }
 
 impl FleetSize {
-    /// Takes how many boxes are heard, this one included, and the largest size that one of them
-    /// tells of; 0 where none does.
+    /// Records the number of live boxes, including this one, and the largest size that one of
+    /// them reports, 0 if none does.
     pub fn hear(&mut self, boxes: usize, told: u32, now: Millis) {
         self.started_at.get_or_insert(now);
         self.heard
@@ -85,12 +85,12 @@
         self.told.take(told, now);
     }
 
-    /// Takes what the store holds; 0 where no box has written a size yet.
+    /// Records the size in the store; 0 if no box has written one yet.
     pub fn recorded(&mut self, boxes: u32) {
         self.recorded = Some(boxes);
     }
 
-    /// How many boxes there are, and who says so.
+    /// Returns the fleet size and its source.
     pub fn known(&self, now: Millis) -> KnownSize {
         if self.recorded.is_some() || self.told.get() > 0 {
             KnownSize::Told(self.boxes())
@@ -101,23 +101,24 @@
         }
     }
 
-    /// The most boxes that this one was told of or heard, 1 at least.
+    /// Returns the largest known number of boxes, at least 1.
     pub fn boxes(&self) -> usize {
         self.own().max(self.told.get()).max(1) as usize
     }
 
-    /// What this box tells others; 0 until the store was asked, since what it hears may be one
-    /// side of a cut.
+    /// Returns the size to report to other boxes. It is 0 until the store was read, since the
+    /// live boxes may be only one side of a partition.
     pub fn to_tell(&self) -> u32 {
         self.recorded.map_or(0, |_| self.own())
     }
 
-    /// The size that the store should hold, where it holds another one.
+    /// Returns the size to write to the store, if the one there has to change.
     pub fn to_record(&self) -> Option<u32> {
         let recorded = self.recorded?;
         let heard = self.heard.get();
         let is_smaller = f64::from(heard) < f64::from(recorded) * SMALLER_PART;
-        // What was heard before this box started isn't known to it.
+        // This box doesn't know which boxes were alive before it started, so it waits for a
+        // whole period.
         let may_shrink = self.heard.is_complete();
         (heard > recorded || (is_smaller && may_shrink)).then_some(heard)
     }
--- a/crates/routing/src/fleet_state/evacuations.rs
+++ b/crates/routing/src/fleet_state/evacuations.rs
@@ -1,4 +1,4 @@
-//! Zones whose upstreams are to get nothing, and those whose evacuation has ended.
+//! Evacuated zones, and zones whose evacuation has ended.
 
 use crate::change::{Change, ChangeKey, Revised, Revision};
 use brasswinch_types::{Millis, Zone};
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Evacuation {
     revision: Revision,
-    /// `None` while it lasts.
+    /// `None` while the evacuation lasts.
     ended_at: Option<Millis>,
 }
 
@@ -18,7 +18,7 @@
 }
 
 impl Evacuations {
-    /// Takes the beginning of an evacuation; says whether the zone was open to requests.
+    /// Records the start of an evacuation. Returns whether the zone wasn't evacuated before.
     pub(super) fn begin(&mut self, zone: Zone, revision: Revision) -> bool {
         let held = self.by_zone.get(&zone);
         if held.is_some_and(|held| held.revision >= revision) {
@@ -31,7 +31,7 @@
         !was_open
     }
 
-    /// Takes the end of an evacuation; says whether it lasted until now.
+    /// Records the end of an evacuation. Returns whether the zone was evacuated until now.
     pub(super) fn end(&mut self, zone: &Zone, revision: Revision, now: Millis) -> bool {
         let Some(held) = self.by_zone.get_mut(zone) else {
             return false;
--- a/crates/routing/src/fleet_state/held_config.rs
+++ b/crates/routing/src/fleet_state/held_config.rs
@@ -1,27 +1,27 @@
-//! The newest configuration, and the steps that led to it.
+//! The newest configuration, and the patches that led to it.
 
 use crate::change::{Change, Revised, Revision};
 use crate::config::{ConfigVersion, SteeringConfig};
 use crate::config_patch::{ConfigMark, ConfigPatch, PatchHistory};
 use std::sync::Arc;
 
-/// Steps of the configuration that begin at something else than what is held.
+/// A configuration patch whose base isn't the configuration that this box holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a change of the configuration is for {base:?}, and {held:?} is held")]
+#[error("a configuration patch applies to {base:?}, but this box holds {held:?}")]
 pub struct PatchMismatch {
-    /// What the step is for.
+    /// The configuration that the patch applies to.
     pub base: ConfigMark,
-    /// What is held, if anything is.
+    /// The configuration that this box holds, if any.
     pub held: Option<ConfigMark>,
 }
 
-/// The configuration with the highest version of all that were learned.
+/// The received configuration with the highest version.
 #[derive(Debug, Default)]
 pub(super) struct HeldConfig {
     newest: Option<Arc<SteeringConfig>>,
-    /// The mark of the newest.
+    /// The fingerprint of the newest configuration.
     mark: Option<ConfigMark>,
-    /// The last revision that wrote the configuration, whatever its version.
+    /// The last revision that wrote a configuration, whatever its version.
     revision: Revision,
     patches: PatchHistory,
 }
@@ -35,7 +35,7 @@
         self.mark
     }
 
-    /// Takes a whole configuration, if it is newer; says whether it is.
+    /// Replaces the configuration if `config` is newer. Returns whether it is.
     pub(super) fn replace(&mut self, config: Arc<SteeringConfig>, revision: Revision) -> bool {
         self.revision = self.revision.max(revision);
         if Some(config.version) <= self.version() {
@@ -49,8 +49,8 @@
         true
     }
 
-    /// Takes steps to a newer version; says whether it is newer. Steps from a version
-    /// that isn't held change nothing.
+    /// Applies patches that lead to a newer version. Returns whether the version changed. Patches
+    /// to a configuration that this box doesn't hold change nothing.
     pub(super) fn patch(&mut self, patches: &[Arc<ConfigPatch>], revision: Revision) -> bool {
         if self.check(patches).is_err() {
             return false;
@@ -79,8 +79,8 @@
         self.newest = Some(config);
     }
 
-    /// Whether steps lead from what is held to a newer version, or are known already.
-    /// Each follows from the one before; only the first that is needed is looked at.
+    /// Checks that patches apply to the held configuration or were applied already. Each patch
+    /// is based on the one before, so only the first one needed is checked.
     pub(super) fn check(&self, patches: &[Arc<ConfigPatch>]) -> Result<(), PatchMismatch> {
         let version = self.version();
         let needed = patches.iter().find(|patch| Some(patch.version) > version);
@@ -93,7 +93,8 @@
         }
     }
 
-    /// The configuration for a peer that holds `holds`: the steps to it, or all.
+    /// Returns the configuration entry for a peer that holds `holds`: the patches from there, or
+    /// the whole configuration.
     pub(super) fn entry_since(&self, holds: Option<ConfigMark>) -> Option<Revised> {
         let (newest, mark) = (self.newest.as_ref()?, self.mark?);
         let patches = holds.and_then(|holds| self.patches.since(holds, mark));
--- a/crates/routing/src/fleet_state/mod.rs
+++ b/crates/routing/src/fleet_state/mod.rs
@@ -1,6 +1,6 @@
-//! What a box knows of configuration, evacuations and upstreams.
+//! The configuration, evacuations and upstreams as a box knows them.
 //!
-//! Entries merge by revision, so that a watch, a listing and a peer's copy can be
+//! Entries are merged by revision, so that watch results, listings and peers' data can be
 //! applied in any order. The configuration never goes back to an older version.
 
 mod evacuations;
@@ -24,7 +24,7 @@
 use upstream_entries::UpstreamEntries;
 use view::View;
 
-/// Everything that was learned from the store, from whatever side.
+/// The store's data as this box knows it, received from the store or from peers.
 #[derive(Debug, Default)]
 pub struct FleetState {
     config: HeldConfig,
@@ -32,47 +32,47 @@
     upstreams: UpstreamEntries,
     scopes: BTreeMap<Scope, Followed>,
     views: BTreeMap<Scope, View>,
-    /// When this box last found that the store doesn't serve.
+    /// When the store last failed to serve this box.
     store_failed_at: Option<Millis>,
 }
 
-/// How far a scope was followed.
+/// How far a scope is known.
 #[derive(Clone, Copy, Debug, Default)]
 struct Followed {
     /// Every change up to here is known.
     newest: Revision,
-    /// Changes after this are kept, with what went away.
+    /// All changes after this revision are kept, including removals.
     kept_since: Revision,
 }
 
-/// An upstream's entry that was lost.
+/// An upstream's entry that is no longer there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LostEntry {
-    /// The last moment as of which it is known to have been there.
+    /// The last time as of which it is known to have existed.
     pub present_as_of: Option<Millis>,
-    /// Whether the store has failed this box since then. It may have lost entries of
-    /// upstreams that live.
+    /// Whether the store has failed to serve this box since then. If so, it may have lost
+    /// entries of upstreams that still run.
     pub store_failed: bool,
 }
 
 /// What a peer lacks of a scope.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum CatchUp {
-    /// The changes after the revision that it has.
+    /// The changes after the peer's revision.
     Changes {
         /// The part of the store.
         scope: Scope,
-        /// Up to where it is whole with them.
+        /// The revision up to which the peer knows everything once it has applied them.
         at: Revision,
         /// The changes.
         changes: Vec<Revised>,
     },
-    /// Everything, where the changes are no longer kept.
+    /// All entries, if the changes are no longer kept.
     Whole(Snapshot),
 }
 
 impl FleetState {
-    /// Applies one change; says whether anything is different now.
+    /// Applies one change. Returns whether anything changed.
     pub fn apply(&mut self, revised: Revised, now: Millis) -> bool {
         let revision = revised.revision;
         match revised.change {
@@ -85,8 +85,9 @@
         }
     }
 
-    /// Applies a change unless everything up to it is known: what it wrote may have gone
-    /// since, and nothing here would remember that. Configurations have versions.
+    /// Applies a change unless everything up to its revision is known: its entry may have been
+    /// removed since, and the tombstone may have expired. Configurations are always applied,
+    /// since their versions are compared.
     fn apply_unless_known(
         &mut self,
         revised: Revised,
@@ -100,12 +101,12 @@
         self.apply(revised, now)
     }
 
-    /// Applies a listing: its entries, and the end of what it lacks. One that is older than
-    /// what is known changes nothing.
+    /// Applies a listing: adds its entries and removes those that it doesn't contain. A listing
+    /// older than the known revision changes nothing. Returns whether anything changed.
     pub fn apply_snapshot(&mut self, snapshot: Snapshot, now: Millis) -> bool {
         let newest = self.newest(snapshot.scope);
         if newest > Some(snapshot.at) {
-            // All of it is known, and what has gone since must not come back.
+            // The whole listing is known, and entries removed since must not reappear.
             return false;
         }
         let listed: BTreeSet<ChangeKey> = snapshot
@@ -127,7 +128,8 @@
             kept_since: snapshot.at,
         });
         if snapshot.at > followed.newest {
-            // What came and went since was never seen here, so it can't be told to others.
+            // This box doesn't know which entries were added and removed in between, so peers
+            // can't get those removals from it.
             followed.kept_since = snapshot.at;
             followed.newest = snapshot.at;
         }
@@ -135,8 +137,7 @@
         changed
     }
 
-    /// Applies changes that follow each other without a gap; says whether anything is
-    /// different now.
+    /// Applies consecutive changes without a gap. Returns whether anything changed.
     pub fn apply_changes(&mut self, scope: Scope, changes: Vec<Revised>, now: Millis) -> bool {
         let known = self.newest(scope);
         let newest = changes.iter().map(|change| change.revision).max();
@@ -151,12 +152,12 @@
         changed
     }
 
-    /// Applies what a peer knows; says whether anything is different now.
+    /// Applies a peer's catch-up data. Returns whether anything changed.
     ///
     /// # Errors
     ///
-    /// Nothing is applied if the peer's changes of the configuration are for a version
-    /// that isn't held (any more): it has to be asked again.
+    /// Fails and applies nothing if its configuration patches are based on a configuration that
+    /// this box doesn't hold (any more): the data must be requested again.
     pub fn catch_up(&mut self, news: CatchUp, now: Millis) -> Result<bool, PatchMismatch> {
         let changes = match &news {
             CatchUp::Whole(snapshot) => &snapshot.entries,
@@ -184,25 +185,25 @@
         }
     }
 
-    /// The revision up to which everything in `scope` is known; `None` before the first
+    /// Returns the revision up to which everything in `scope` is known; `None` before the first
     /// listing.
     pub fn newest(&self, scope: Scope) -> Option<Revision> {
         self.scopes.get(&scope).map(|followed| followed.newest)
     }
 
-    /// Takes what the store or another box says of how much there is to know in `scope`.
+    /// Records a watermark of `scope` from the store or from a peer.
     pub fn claim(&mut self, scope: Scope, claim: Claim) {
         let newest = self.newest(scope);
         self.views.entry(scope).or_default().take(claim, newest);
     }
 
-    /// As of when everything in `scope` is known, by this box's clock; `None` before that
-    /// was ever so.
+    /// Returns the time on this box's clock as of which everything in `scope` is known; `None`
+    /// if that was never the case.
     pub fn whole_as_of(&self, scope: Scope) -> Option<Millis> {
         self.views.get(&scope)?.as_of()
     }
 
-    /// The store's revision from which changes in `scope` have to be asked for; `None`
+    /// Returns the store's revision after which changes in `scope` have to be requested; `None`
     /// before the first listing.
     pub fn asked_to(&self, scope: Scope) -> Option<Revision> {
         let newest = self.newest(scope)?;
@@ -210,18 +211,18 @@
         Some(newest.max(at))
     }
 
-    /// The latest revision of `scope` that others said there is and that isn't known yet.
+    /// Returns the latest revision of `scope` that was reported by others and isn't known yet.
     pub fn awaited(&self, scope: Scope) -> Option<Revision> {
         self.views.get(&scope)?.awaited()
     }
 
-    /// Takes that the store doesn't serve this box.
+    /// Records that the store failed to serve this box.
     pub fn store_failed(&mut self, now: Millis) {
         self.store_failed_at = Some(now);
     }
 
-    /// What is known of the entry of an upstream that is no longer there; `None` if it was
-    /// never there, or went long ago.
+    /// Returns what is known of an upstream's entry that is no longer there; `None` if it never
+    /// existed, has a newer unusable entry, or was removed long ago.
     pub fn lost_entry(&self, id: &UpstreamId) -> Option<LostEntry> {
         let present_as_of = self.upstreams.gone_present_as_of(id)?;
         let store_failed = self.store_failed_at > present_as_of;
@@ -238,8 +239,9 @@
         }
     }
 
-    /// What a peer lacks that has everything in `scope` up to `after`, and holds the
-    /// configuration that `holds` marks. `None` if nothing is known here.
+    /// Returns the data missing at a peer that knows everything in `scope` up to `after` and
+    /// holds the configuration with the fingerprint `holds`; `None` if this box doesn't know the
+    /// scope.
     pub fn missing(
         &self,
         scope: Scope,
@@ -264,27 +266,27 @@
         Some(CatchUp::Changes { scope, at, changes })
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     pub fn config(&self) -> Option<&Arc<SteeringConfig>> {
         self.config.newest()
     }
 
-    /// The mark of the configuration in force.
+    /// Returns the fingerprint of the configuration in force.
     pub fn config_mark(&self) -> Option<ConfigMark> {
         self.config.mark()
     }
 
-    /// All upstreams that have an entry, with when it was learned.
+    /// Returns all upstreams that have an entry, with the time at which it was received.
     pub fn upstreams(&self) -> impl Iterator<Item = (&UpstreamRecord, Millis)> {
         self.upstreams.records()
     }
 
-    /// Whether `zone` is to get nothing.
+    /// Returns whether `zone` is evacuated.
     pub fn is_evacuated(&self, zone: &Zone) -> bool {
         self.evacuations.is_open(zone)
     }
 
-    /// When the last evacuation of `zone` ended, if one did.
+    /// Returns when the last evacuation of `zone` ended; `None` if none did or one lasts.
     pub fn evacuation_ended_at(&self, zone: &Zone) -> Option<Millis> {
         self.evacuations.ended_at(zone)
     }
@@ -310,7 +312,8 @@
         }
     }
 
-    /// Changes up to `forgotten` are no longer kept; peers that lack them get everything.
+    /// Records that removals up to `forgotten` are no longer kept; peers that lack them get all
+    /// entries.
     fn keep_since(&mut self, scope: Scope, forgotten: Revision) {
         if let Some(followed) = self.scopes.get_mut(&scope) {
             followed.kept_since = followed.kept_since.max(forgotten);
--- a/crates/routing/src/fleet_state/upstream_entries.rs
+++ b/crates/routing/src/fleet_state/upstream_entries.rs
@@ -1,34 +1,33 @@
-//! The upstreams' entries, and those that went away lately.
+//! The upstreams' entries, and tombstones of entries removed recently.
 
 use crate::change::{Change, ChangeKey, Revised, Revision};
 use crate::upstream::UpstreamRecord;
 use brasswinch_types::{Millis, UpstreamId};
 use std::collections::BTreeMap;
 
-/// How long the revision of an entry that went away is kept, against late news of it.
+/// How long a removed entry's tombstone is kept, to reject older changes that arrive late.
 const KEEP_GONE_MS: Millis = 120_000;
 
 #[derive(Clone, Debug)]
 struct HeldUpstream {
     record: UpstreamRecord,
     revision: Revision,
-    /// When the entry was learned.
+    /// When the entry was received.
     learned_at: Millis,
 }
 
-/// An entry that went away.
+/// The tombstone of a removed entry.
 #[derive(Clone, Copy, Debug)]
 struct GoneUpstream {
     revision: Revision,
-    /// It is there, and names no upstream that can be used.
+    /// The entry exists in the store, but describes no usable upstream.
     is_unreadable: bool,
     gone_at: Millis,
-    /// The last moment as of which the entry is known to have been there, where it was
-    /// held.
+    /// The last time as of which the entry is known to have existed, if it was held.
     present_as_of: Option<Millis>,
 }
 
-/// What is known of all upstreams.
+/// The entries of all upstreams.
 #[derive(Debug, Default)]
 pub(super) struct UpstreamEntries {
     held: BTreeMap<UpstreamId, HeldUpstream>,
@@ -36,7 +35,7 @@
 }
 
 impl UpstreamEntries {
-    /// Takes an entry; says whether it is news.
+    /// Inserts an entry. Returns whether it is new.
     pub(super) fn insert(
         &mut self,
         record: UpstreamRecord,
@@ -54,7 +53,7 @@
             && held.record.started > record.started
             && record.started.is_some()
         {
-            // An earlier life's word came late; what the later one said holds.
+            // A late record of an earlier run of the upstream: the later run's record stays.
             held.revision = revision;
             return false;
         }
@@ -67,8 +66,8 @@
         true
     }
 
-    /// Takes that an entry went away; says whether it was there.
-    /// `present_as_of` is the last moment as of which all entries are known.
+    /// Records the removal of an entry. Returns whether it was held. `present_as_of` is the last
+    /// time as of which all entries are known.
     pub(super) fn remove(
         &mut self,
         id: &UpstreamId,
@@ -98,8 +97,8 @@
         was_held
     }
 
-    /// Takes that an entry names no upstream any more; says whether it did. Unlike one that
-    /// is lost it isn't kept in use: somebody wrote it.
+    /// Records that an entry no longer describes a usable upstream. Returns whether it was held.
+    /// Unlike a lost entry's, its upstream isn't kept in use: the entry was written on purpose.
     pub(super) fn make_unreadable(
         &mut self,
         id: &UpstreamId,
@@ -121,7 +120,7 @@
         gone.map(|gone| gone.present_as_of)
     }
 
-    /// Forgets what went away long ago; returns the last revision that is forgotten.
+    /// Drops expired tombstones and returns the latest revision among them.
     pub(super) fn forget_gone(&mut self, now: Millis) -> Revision {
         let mut forgotten = Revision(0);
         self.gone.retain(|_, gone| {
--- a/crates/routing/src/fleet_state/view.rs
+++ b/crates/routing/src/fleet_state/view.rs
@@ -1,54 +1,54 @@
-//! As of when a box knows all of a scope.
+//! The time as of which a box's view of a scope is complete.
 //!
-//! All times are of the box's own steady clock. Others tell how old their view is, never
-//! what time it is, so a clock that jumps changes nothing.
+//! All times are of the box's own monotonic clock. Peers send the age of their view and not a
+//! time, so wall clock jumps have no effect.
 
 use crate::change::Revision;
 use brasswinch_types::Millis;
 use std::collections::VecDeque;
 
-/// Claims that wait until the box knows what they speak of. One comes every few hundred
-/// milliseconds, and one that has waited for eight others is no longer worth knowing.
+/// Most watermarks that are pending until the box knows their revision. One arrives every few
+/// hundred milliseconds, so one that eight others have followed is too old to be of use.
 const MOST_CLAIMS: usize = 8;
 
-/// A statement about one scope: everything that the store had acknowledged at `as_of` has
-/// a revision of at most `revision`, and nothing up to `at` is later.
+/// A watermark of one scope: every change that the store had acknowledged at `as_of` has a
+/// revision of at most `revision`, and there is no later change up to revision `at`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Claim {
     /// The last change of the scope.
     pub revision: Revision,
-    /// The store's revision up to which there is no later one.
+    /// The store's revision up to which there is no later change of the scope.
     pub at: Revision,
-    /// When that was so, by the clock of the box that keeps the claim, in milliseconds.
+    /// When this was true, in milliseconds of the local box's clock.
     pub as_of: Millis,
 }
 
-/// What is known of the age of one scope.
+/// How complete the view of one scope is.
 #[derive(Debug, Default)]
 pub(super) struct View {
     as_of: Option<Millis>,
     at: Revision,
-    /// Claims about changes that the box lacks.
+    /// Watermarks whose revision the box doesn't know yet.
     awaited: VecDeque<Claim>,
 }
 
 impl View {
-    /// As of when everything is known; `None` before that was ever so.
+    /// Returns the time as of which the view is complete; `None` if it never was.
     pub(super) fn as_of(&self) -> Option<Millis> {
         self.as_of
     }
 
-    /// The store's revision up to which everything is known.
+    /// Returns the store's revision up to which everything is known.
     pub(super) fn at(&self) -> Revision {
         self.at
     }
 
-    /// The latest revision that a claim speaks of and that isn't known yet.
+    /// Returns the latest pending revision.
     pub(super) fn awaited(&self) -> Option<Revision> {
         self.awaited.iter().map(|claim| claim.revision).max()
     }
 
-    /// Takes a claim, where everything up to `newest` is known.
+    /// Records a watermark; everything up to `newest` is known.
     pub(super) fn take(&mut self, claim: Claim, newest: Option<Revision>) {
         if self.as_of.is_some_and(|as_of| as_of >= claim.as_of) {
             return;
@@ -60,7 +60,7 @@
         self.settle(newest);
     }
 
-    /// Takes that everything up to `newest` is known now.
+    /// Applies the pending watermarks up to `newest`, the revision up to which everything is known.
     pub(super) fn settle(&mut self, newest: Option<Revision>) {
         let (as_of, at) = (&mut self.as_of, &mut self.at);
         self.awaited.retain(|claim| {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Every decision about a routed request, pure: time is an argument.
+//! All routing decisions as pure code without I/O: the current time is an argument.
 //!
-//! A routed request names a host and a path. Its route names services, a service has
-//! upstreams, and upstreams stand in zones of regions. What is known of them comes as
+//! A request is matched to a route by host and path. The route names services, a service has
+//! upstreams, and each upstream is in a zone of a region. Data about them arrives as
 //! [`Change`]s with revisions, in any order and from any source.
 
 mod change;
--- a/crates/routing/src/news_source.rs
+++ b/crates/routing/src/news_source.rs
@@ -1,19 +1,20 @@
-//! Chooses which box to ask for news of the store.
+//! Chooses the peer to request the store's updates from.
 //!
-//! A near one first, since it is cheap. But where many boxes died together the near ones
-//! may all be dead without anybody having noticed yet, and each of them costs a time-out:
-//! after a question that failed, the one that knows most is asked, wherever it stands. Only
-//! living boxes learn what is new.
+//! Nearby peers come first, since requests to them are cheap. When many boxes fail together,
+//! though, all nearby peers may be dead before this is detected, and each costs a timeout. So
+//! after a failed request the peer with the newest revision is chosen, wherever it is: only
+//! live boxes receive new revisions.
 
 use crate::change::Revision;
 use brasswinch_types::Millis;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// How long a box that did not help is asked only where nobody else knows more.
+/// How long a peer is avoided after a failed request. An avoided peer is chosen only if every
+/// candidate is avoided.
 const AVOID_MS: Millis = 2_000;
 
-/// How far another box is.
+/// The distance to another box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Distance {
     /// In the same zone.
@@ -24,18 +25,18 @@
     Elsewhere,
 }
 
-/// A box that knows more.
+/// A peer that has newer data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Where it is asked.
+    /// Its peer address.
     pub peer: SocketAddr,
-    /// How far it is.
+    /// The distance to it.
     pub distance: Distance,
-    /// Up to where it knows what is asked for.
+    /// The latest revision that it has of the requested scope.
     pub revision: Revision,
 }
 
-/// Remembers which boxes did not help.
+/// Selects peers, and avoids those whose last request failed.
 #[derive(Clone, Debug, Default)]
 pub struct NewsSources {
     avoided: HashMap<SocketAddr, Millis>,
@@ -43,7 +44,7 @@
 }
 
 impl NewsSources {
-    /// One of `candidates`; among equal ones `random`, from 0 to 1, decides.
+    /// Chooses one of `candidates`; `random`, from 0 to 1, decides between equally good ones.
     pub fn choose(
         &mut self,
         candidates: &[Candidate],
@@ -66,13 +67,13 @@
         equals.get(drawn.min(equals.len() - 1)).map(|c| **c)
     }
 
-    /// The box at `peer` told what it was asked for.
+    /// Records that `peer` answered a request.
     pub fn helped(&mut self, peer: SocketAddr) {
         self.avoided.remove(&peer);
         self.last_failed = false;
     }
 
-    /// The box at `peer` did not.
+    /// Records that a request to `peer` failed.
     pub fn failed(&mut self, peer: SocketAddr, now: Millis) {
         self.avoided.insert(peer, now + AVOID_MS);
         self.last_failed = true;
--- a/crates/routing/src/swim/member.rs
+++ b/crates/routing/src/swim/member.rs
@@ -1,4 +1,4 @@
-//! A member: its own word, and whether it was heard.
+//! A member: the record that it publishes, and its liveness.
 
 use super::message::Update;
 use crate::change::{Revision, Scope};
@@ -6,61 +6,61 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a box is doing.
+/// The state of a box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It can't serve yet.
+    /// It can't serve requests yet.
     Starting,
-    /// It serves.
+    /// It serves requests.
     Serving,
-    /// It takes nothing new.
+    /// It accepts no new requests.
     Leaving,
 }
 
-/// A box's own word about itself.
+/// What a box publishes about itself.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberRecord {
     /// The box.
     #[serde(rename = "i")]
     pub id: BoxId,
-    /// Goes up with each change of the record, and with each denial of a suspicion.
+    /// Incremented with each change of the record, and to refute a false claim about the box.
     #[serde(rename = "n")]
     pub incarnation: u64,
-    /// Where it stands.
+    /// Its availability zone.
     #[serde(rename = "z")]
     pub zone: Zone,
-    /// Where callers reach it.
+    /// Its address for callers.
     #[serde(rename = "c")]
     pub caller_address: SocketAddr,
-    /// Where other boxes reach it, by datagram and by connection.
+    /// Its address for other boxes, both for datagrams and for connections.
     #[serde(rename = "p")]
     pub peer_address: SocketAddr,
-    /// What it is doing.
+    /// Its state.
     #[serde(rename = "s")]
     pub state: MemberState,
-    /// Requests a second that its callers send; `None` until it has measured them.
+    /// Requests per second from its callers; `None` until measured.
     #[serde(rename = "r")]
     pub requests_per_s: Option<f32>,
-    /// Up to where it knows what operators wrote.
+    /// The revision up to which it knows the operators' entries.
     #[serde(rename = "o")]
     pub operator_revision: Revision,
-    /// Up to where it knows what upstreams wrote.
+    /// The revision up to which it knows the upstreams' entries.
     #[serde(rename = "t")]
     pub upstream_revision: Revision,
-    /// Whether the store answered it when it last asked.
+    /// Whether its last call to the store succeeded.
     #[serde(rename = "k")]
     pub reaches_store: bool,
-    /// What its link carries, in Mbit/s; 0 where that isn't known.
+    /// The bandwidth of its link, in Mbit/s; 0 if unknown.
     #[serde(rename = "b", default)]
     pub link_mbps: u32,
-    /// How many boxes it knows the fleet to have ([`FleetSize`](crate::FleetSize)); 0 as long as
-    /// it doesn't know.
+    /// The number of boxes in the fleet as far as it knows ([`FleetSize`](crate::FleetSize)); 0
+    /// if unknown.
     #[serde(rename = "f", default)]
     pub fleet_size: u32,
 }
 
 impl MemberRecord {
-    /// Takes that the box knows `scope` up to `revision` at least.
+    /// Records that the box knows `scope` up to at least `revision`.
     pub(super) fn raise_revision(&mut self, scope: Scope, revision: Revision) {
         let held = match scope {
             Scope::Operator => &mut self.operator_revision,
@@ -69,7 +69,7 @@
         *held = (*held).max(revision);
     }
 
-    /// Up to where the box knows `scope`.
+    /// Returns the revision up to which the box knows `scope`.
     pub fn revision(&self, scope: Scope) -> Revision {
         match scope {
             Scope::Operator => self.operator_revision,
@@ -78,23 +78,23 @@
     }
 }
 
-/// Whether a box was heard.
+/// Whether a box responds to probes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Liveness {
-    /// It answers.
+    /// It responds.
     Alive,
-    /// It was silent; it may still deny that.
+    /// A probe failed; the box can still refute the suspicion.
     Suspect,
-    /// It was silent for too long.
+    /// It didn't refute the suspicion in time.
     Dead,
 }
 
-/// What is known of another box.
+/// Another box of the fleet.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its own word.
+    /// The newest record received from it.
     pub record: MemberRecord,
-    /// Whether it was heard.
+    /// Whether it responds to probes.
     pub liveness: Liveness,
     pub(super) changed_at: Millis,
     pub(super) spread_left: u32,
--- a/crates/routing/src/swim/message.rs
+++ b/crates/routing/src/swim/message.rs
@@ -1,4 +1,4 @@
-//! What boxes tell each other about members.
+//! The messages of the membership protocol.
 
 use super::member::{Liveness, MemberRecord};
 use crate::change::{Revision, Scope};
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// News of one member.
+/// The record and liveness of one member.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Update {
     #[serde(rename = "r")]
@@ -15,70 +15,71 @@
     pub(super) liveness: Liveness,
 }
 
-/// What boxes say to each other.
+/// A message between boxes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SwimMessage {
-    /// Answer me.
+    /// Probes the receiver.
     Ping {
-        /// Comes back in the answer.
+        /// Copied into the acknowledgement.
         sequence: u32,
-        /// News.
+        /// Piggybacked updates.
         updates: Vec<Update>,
     },
-    /// Here I am, or whom you asked me to probe.
+    /// Acknowledges a ping, or confirms that the peer of a ping request acknowledged one.
     Ack {
-        /// The ping's.
+        /// The sequence number of the ping or ping request.
         sequence: u32,
-        /// News.
+        /// Piggybacked updates.
         updates: Vec<Update>,
     },
-    /// Probe another for me.
+    /// Asks the receiver to probe `peer` for the sender.
     PingRequest {
-        /// Comes back in the answer.
+        /// Copied into the acknowledgement.
         sequence: u32,
-        /// Whom to probe.
+        /// The box to probe.
         peer: SocketAddr,
-        /// News.
+        /// Piggybacked updates.
         updates: Vec<Update>,
     },
-    /// Here are members that I know.
+    /// Sends members that the sender knows.
     Sync {
-        /// Whether to answer with those that you know.
+        /// Whether the receiver is to reply with the members that it knows.
+        #[serde(rename = "asks")]
         asks: bool,
         /// The members.
         updates: Vec<Update>,
     },
-    /// Here is how much I know of the store, and how old that is.
+    /// Sends how much of the store the sender knows, and how old that view is.
     Known {
         /// The sender.
         #[serde(rename = "i")]
         id: BoxId,
-        /// Each scope that it knows.
+        /// Its view of each scope that it knows.
         #[serde(rename = "v")]
         views: Vec<KnownView>,
-        /// Whether the store does not answer the sender, or the box that it speaks for,
-        /// which goes on trying.
+        /// Whether the store doesn't respond to the sender, or to the box whose views it relays;
+        /// that box keeps retrying.
         #[serde(rename = "f", default)]
         failing: bool,
     },
 }
 
-/// How much a box knows of a scope, and how old that is.
+/// How much of a scope a box knows, and how old that view is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KnownView {
     /// The scope.
     #[serde(rename = "s")]
     pub scope: Scope,
-    /// The last change that it knows.
+    /// The revision of the last change that it knows.
     #[serde(rename = "r")]
     pub revision: Revision,
     /// The store's revision up to which there is no later change.
     #[serde(rename = "a")]
     pub at: Revision,
-    /// How long ago, in milliseconds, that was everything.
+    /// How long ago, in milliseconds, the view was complete.
     #[serde(rename = "o")]
     pub age_ms: u32,
 }
 
-/// A message and where it goes.
+/// A message and its destination.
 pub type Outgoing = (SocketAddr, SwimMessage);
--- a/crates/routing/src/swim/mod.rs
+++ b/crates/routing/src/swim/mod.rs
@@ -1,5 +1,5 @@
-//! Membership by the SWIM protocol: each box probes one other at a time, asks a few
-//! others to probe it where it is silent, and spreads what it learns on the probes.
+//! Membership by the SWIM protocol: each box probes one member at a time, asks a few others to
+//! probe it if it doesn't respond, and piggybacks membership updates on these messages.
 //!
 //! The load on a box doesn't depend on the size of the fleet. Source: Das, Gupta,
 //! Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
@@ -23,21 +23,21 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Boxes that are told at once that there is news from the store; each of them tells as
-/// many.
+/// Members to which a box announces its changed record at once; each of those that learn
+/// something new from it announces that to as many.
 const HINTED: usize = 3;
 
-/// How long a dead member is remembered and looked for now and then.
+/// How long a dead member is kept and still probed now and then.
 const KEEP_DEAD_MS: Millis = 60_000;
 
-/// Times of the protocol, in milliseconds.
+/// Timing of the protocol, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct SwimSettings {
-    /// Between two probes.
+    /// Interval between two probes.
     pub period_ms: Millis,
-    /// Until helpers are asked.
+    /// Time without an acknowledgement after which others are asked to probe the member.
     pub ack_timeout_ms: Millis,
-    /// From suspicion to death.
+    /// Time after which a suspect member is considered dead.
     pub suspicion_ms: Millis,
 }
 
@@ -51,13 +51,13 @@
     }
 }
 
-/// One box's side of the protocol.
+/// The protocol state of one box.
 #[derive(Debug)]
 pub struct Swim {
     settings: SwimSettings,
     me: MemberRecord,
     seeds: Vec<SocketAddr>,
-    /// Boxes that were told of and are no members yet.
+    /// Addresses of boxes that were found elsewhere and are no members yet.
     strangers: Vec<SocketAddr>,
     members: BTreeMap<BoxId, Member>,
     round: Vec<BoxId>,
@@ -67,12 +67,12 @@
     next_probe_at: Millis,
     next_sync_at: Millis,
     generation: u64,
-    /// The latest revisions that any box ever told of.
+    /// The latest revision of each scope that any box ever reported.
     heard: BTreeMap<Scope, Revision>,
 }
 
 impl Swim {
-    /// Knows nobody but the addresses of `seeds`.
+    /// Starts without members; the first ones are found through `seeds`.
     pub fn new(me: MemberRecord, seeds: Vec<SocketAddr>, settings: SwimSettings) -> Self {
         let seeds = seeds
             .into_iter()
@@ -95,45 +95,46 @@
         }
     }
 
-    /// This box's own word.
+    /// Returns this box's own record.
     pub fn me(&self) -> &MemberRecord {
         &self.me
     }
 
-    /// The member, dead or alive.
+    /// Returns a member, dead or alive.
     pub fn member(&self, id: &BoxId) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// All other members, the dead ones included.
+    /// Returns all other members, including dead ones.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// What the boxes that are heard say of themselves, this one included.
+    /// Returns the records of all boxes that are alive, including this one.
     pub fn heard_boxes(&self) -> impl Iterator<Item = &MemberRecord> {
         let alive = |member: &&Member| member.liveness == Liveness::Alive;
         let others = self.members().filter(alive);
         others.map(|member| &member.record).chain([&self.me])
     }
 
-    /// Those of them that serve.
+    /// Returns the records of all live boxes that serve requests.
     pub fn serving_boxes(&self) -> impl Iterator<Item = &MemberRecord> {
         self.heard_boxes()
             .filter(|record| record.state == MemberState::Serving)
     }
 
-    /// The latest revision of `scope` that any box ever told of.
+    /// Returns the latest revision of `scope` that any box ever reported.
     pub fn newest_heard(&self, scope: Scope) -> Revision {
         self.heard.get(&scope).copied().unwrap_or_default()
     }
 
-    /// Goes up whenever a member comes, goes or changes what it does.
+    /// Returns a counter that is incremented when a box joins or when its liveness or published
+    /// state changes, but not for a changed load or revision.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Changes what this box does.
+    /// Sets this box's state.
     pub fn set_state(&mut self, state: MemberState) {
         if self.me.state != state {
             self.me.state = state;
@@ -142,14 +143,14 @@
         }
     }
 
-    /// Changes the load that this box tells.
+    /// Sets the load that this box publishes.
     pub fn set_requests_per_s(&mut self, requests_per_s: f32) {
         self.me.requests_per_s = Some(requests_per_s);
         self.me.incarnation += 1;
     }
 
-    /// Changes up to where this box says that it knows `scope`; says whether that is
-    /// further than before.
+    /// Raises the revision up to which this box publishes that it knows `scope`. Returns whether
+    /// it was lower before.
     pub fn set_revision(&mut self, scope: Scope, revision: Revision) -> bool {
         if self.me.revision(scope) >= revision {
             return false;
@@ -159,7 +160,7 @@
         true
     }
 
-    /// Changes whether this box says that the store answers it.
+    /// Sets whether this box publishes that it reaches the store.
     pub fn set_reaches_store(&mut self, reaches_store: bool) {
         if self.me.reaches_store != reaches_store {
             self.me.reaches_store = reaches_store;
@@ -168,7 +169,7 @@
         }
     }
 
-    /// Changes how many boxes this box says that the fleet has; says whether that is new.
+    /// Sets the fleet size that this box publishes. Returns whether it changed.
     pub fn set_fleet_size(&mut self, fleet_size: u32) -> bool {
         if self.me.fleet_size == fleet_size {
             return false;
@@ -178,7 +179,7 @@
         true
     }
 
-    /// Pings to some members, so that they hear this box's newest word at once.
+    /// Returns pings to a few members that announce this box's current record at once.
     pub fn hints(&mut self, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut addresses = self.addresses(Liveness::Alive);
         addresses.shuffle(random);
@@ -192,14 +193,14 @@
         out
     }
 
-    /// Takes new seeds.
+    /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: Vec<SocketAddr>) {
         self.seeds = seeds;
         self.seeds.retain(|seed| *seed != self.me.peer_address);
     }
 
-    /// Takes addresses of boxes from elsewhere; those that belong to no living member are
-    /// asked for what they know. Returns how many there are.
+    /// Sets the addresses of boxes found elsewhere. Some of those that belong to no live member
+    /// are sent a sync request at the next tick. Returns how many belong to none.
     pub fn introduce(&mut self, addresses: impl Iterator<Item = SocketAddr>) -> usize {
         let living = self.addresses(Liveness::Alive);
         let is_stranger =
@@ -211,7 +212,7 @@
         self.strangers.len()
     }
 
-    /// Regular work; the messages to send.
+    /// Runs the periodic work and returns the messages to send.
     pub fn tick(&mut self, now: Millis, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut out = Vec::new();
         self.bury(now);
@@ -226,7 +227,7 @@
         out
     }
 
-    /// Takes a message; the messages to send.
+    /// Handles a message and returns the messages to send.
     pub fn receive(
         &mut self,
         from: SocketAddr,
@@ -267,7 +268,8 @@
         }
     }
 
-    /// The last message before this box stops: that it leaves, to some members.
+    /// Returns the messages that announce to some members that this box is leaving. They are the
+    /// last ones before it stops.
     pub fn farewell(&mut self, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut addresses: Vec<SocketAddr> = self.addresses(Liveness::Alive);
         addresses.shuffle(random);
--- a/crates/routing/src/swim/probing.rs
+++ b/crates/routing/src/swim/probing.rs
@@ -1,4 +1,5 @@
-//! Probes: one member at a time, with the help of others where it is silent.
+//! Failure detection: probes one member at a time, and indirectly through others if it doesn't
+//! respond.
 
 use super::{Liveness, Outgoing, Swim, SwimMessage};
 use brasswinch_types::{BoxId, Millis};
@@ -6,10 +7,10 @@
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
 
-/// Boxes that are asked to probe a silent one.
+/// Members that are asked to probe one that doesn't respond.
 const HELPERS: usize = 2;
 
-/// A probe that waits for its answer.
+/// A probe without an acknowledgement yet.
 #[derive(Clone, Debug)]
 pub(super) struct Probe {
     pub(super) id: BoxId,
@@ -18,7 +19,7 @@
     pub(super) asked_helpers: bool,
 }
 
-/// A probe that was made for another box.
+/// A probe made on behalf of another box.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Errand {
     pub(super) asker: SocketAddr,
@@ -97,7 +98,7 @@
         let address = member.record.peer_address;
         let sequence = self.new_sequence();
         let updates = match member.liveness {
-            // A dead or suspect one has to hear what is said of it, to deny it.
+            // A dead or suspect member has to learn of its status to refute it.
             Liveness::Alive => self.news(),
             _ => vec![self.my_update(), member.update()],
         };
--- a/crates/routing/src/swim/spreading.rs
+++ b/crates/routing/src/swim/spreading.rs
@@ -1,4 +1,4 @@
-//! News: what is told on each message, and what is believed of what is heard.
+//! Dissemination: chooses the updates to piggyback on messages, and merges received ones.
 
 use super::message::{KnownView, Update};
 use super::{Liveness, Member, MemberState, Outgoing, Swim, SwimMessage};
@@ -8,23 +8,23 @@
 use rand::{Rng, RngExt};
 use std::net::SocketAddr;
 
-/// Boxes that aren't members yet that are asked at a time.
+/// Boxes found elsewhere that are sent a sync request at a time.
 const MOST_STRANGERS: usize = 4;
 
-/// Most updates on one message, so that it fits a datagram.
+/// Most updates in one message, so that it fits in a datagram.
 pub(super) const MOST_UPDATES: usize = 7;
 
-/// Most members told to one that asks for all.
+/// Most members sent in reply to one sync request.
 const MOST_SYNCED: usize = 140;
 
-/// An update is spread this often for each doubling of the fleet.
+/// Transmissions of an update per doubling of the fleet size.
 const SPREAD_PER_DOUBLING: u32 = 2;
 
-/// Time between full exchanges with a random member.
+/// Interval between syncs with a random member.
 const SYNC_MS: Millis = 5_000;
 
 impl Swim {
-    /// This box's word and the least spread news.
+    /// Returns this box's own record and the updates with the most transmissions left.
     pub(super) fn news(&mut self) -> Vec<Update> {
         let mut fresh: Vec<(u32, BoxId)> = self
             .members
@@ -61,7 +61,7 @@
             return;
         }
         self.hear_revisions(&update);
-        // A box that is starting is told of when it serves.
+        // Updates about a box that is starting aren't spread until it serves.
         let spread_left = match update.record.state {
             MemberState::Starting => 0,
             MemberState::Serving | MemberState::Leaving => self.spread_times(),
@@ -88,7 +88,7 @@
             && held.record.reaches_store == news.record.reaches_store
             && held.record.fleet_size == news.record.fleet_size;
         if is_word_of_its_own {
-            // A changed load isn't worth spreading; its box tells it with each probe.
+            // A changed load or revision isn't spread: its box sends it with each probe.
             held.record = news.record;
             return;
         }
@@ -96,7 +96,7 @@
         self.generation += 1;
     }
 
-    /// Takes how much a member knows. Nothing is believed of boxes that are no members.
+    /// Records how much a member knows. Reports from boxes that are no members are ignored.
     pub(super) fn hear_known(&mut self, id: &BoxId, views: &[KnownView]) {
         let Some(member) = self.members.get_mut(id) else {
             return;
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Answers a claim about this box that isn't its own latest word.
+    /// Refutes an update about this box that isn't its own latest record, by raising the
+    /// incarnation above it.
     pub(super) fn deny(&mut self, update: &Update) {
         let is_older = update.record.incarnation < self.me.incarnation;
         let is_mine = update.record == self.me && update.liveness == Liveness::Alive;
@@ -143,7 +144,7 @@
         } else {
             vec![alive[random.random_range(0..alive.len())]]
         };
-        // One stranger that answers knows the others of its group.
+        // One of these boxes that replies knows the other members of its group.
         let mut strangers = std::mem::take(&mut self.strangers);
         strangers.shuffle(random);
         receivers.extend(strangers.into_iter().take(MOST_STRANGERS));
--- a/crates/routing/src/watchers.rs
+++ b/crates/routing/src/watchers.rs
@@ -1,11 +1,12 @@
-//! Which boxes follow the store themselves, and which pass on to their zone what they hear.
+//! Selects the boxes that follow the store and the boxes that relay its updates to their zone.
 //!
-//! Two boxes of the fleet follow the store, so that its calls grow neither with boxes nor
-//! with zones, and the loss of one leaves nobody without news. One box of each zone is told
-//! by them and tells the others there; where it isn't told in time it asks the store for its
-//! zone ([`ViewLimits`](crate::ViewLimits)). Boxes with fast links come first: the store
-//! tells a change of the configuration by the whole of it, up to a megabyte, and the fleet
-//! waits for that.
+//! Two boxes of the fleet follow the store. Its load then depends neither on the number of
+//! boxes nor on the number of zones, and the loss of one follower interrupts no updates. In
+//! each zone without a follower, one box receives updates from the leading follower and relays
+//! them to its zone; if none arrive in time, it asks the store itself
+//! ([`ViewLimits`](crate::ViewLimits)). Boxes with fast links rank first: the store sends the
+//! whole configuration, up to 1 MB, for every change of it, and the fleet waits for that
+//! transfer.
 
 use crate::rendezvous::{object_hash, weighted_score};
 use crate::swim::{Liveness, MemberRecord, MemberState, Swim};
@@ -15,21 +16,25 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// Boxes that follow the store, where there are as many: two, so that the loss of one leaves
-/// the other's watch. Each change is fetched by each of them: with one in each of nine zones
-/// nine times.
+/// Boxes that follow the store, fleet-wide. If one is lost, the other's watch goes on. With one
+/// follower per zone, every change was fetched nine times.
 const FOLLOWERS: usize = 2;
 
-/// What a box does to know of the store's changes.
+/// A box's part in distributing the store's changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum StoreDuty {
-    /// Follows the store, and confirms to the others that follow it that they miss nothing.
+    /// Follows the store, and confirms to the other followers and the relays that their views
+    /// are complete.
+    #[serde(rename = "Confirms")]
     Confirms,
     /// Follows the store.
+    #[serde(rename = "Follows")]
     Follows,
-    /// Is told by the box that confirms, and tells its zone.
+    /// Receives updates from the leading follower and relays them to its zone.
+    #[serde(rename = "PassesOn")]
     PassesOn,
-    /// Hears from others.
+    /// Receives updates from other boxes only.
+    #[serde(rename = "Hears")]
     Hears,
 }
 
@@ -40,17 +45,18 @@
     }
 }
 
-/// The boxes with a duty for others, as one box sees them.
+/// The followers and relays of the fleet, as one box sees them.
 #[derive(Clone, Debug)]
 pub struct Watchers {
-    /// What this box does.
+    /// The duty of this box.
     pub duty: StoreDuty,
-    /// Where the others that follow the store or pass news on are reached.
+    /// Peer addresses of the other followers and relays.
     pub others: Vec<SocketAddr>,
 }
 
 impl Watchers {
-    /// Boxes that the store doesn't answer come last, so that others step in.
+    /// Ranks the serving boxes and assigns the duties. Boxes that can't reach the store rank
+    /// last, so that others replace them.
     pub fn of(swim: &Swim) -> Self {
         let me = swim.me();
         let members = swim
@@ -86,8 +92,8 @@
     record.state == MemberState::Serving
 }
 
-/// A box and its rank, which is worked out once: a large fleet is sorted each time that a
-/// box comes or goes.
+/// A box and its rank. The rank is computed once per box, since the whole fleet is sorted
+/// whenever a box joins or leaves.
 struct Ranked<'a> {
     record: &'a MemberRecord,
     rank: f64,
@@ -99,7 +105,7 @@
         Self { record, rank }
     }
 
-    /// Which of two boxes is the better one to follow the store.
+    /// Compares two boxes; the greater one is the better follower.
     fn compare(&self, other: &Self) -> Ordering {
         let (mine, others) = (self.record, other.record);
         let by_reach = mine.reaches_store.cmp(&others.reaches_store);
--- a/crates/routing/src/workspace.rs
+++ b/crates/routing/src/workspace.rs
@@ -1,4 +1,4 @@
-//! Workspaces on the routed path: whose request it is, and what it may use.
+//! Workspaces: which one a request belongs to, and what it may use.
 
 use brasswinch_types::{Region, Workspace};
 use serde::{Deserialize, Serialize};
@@ -7,17 +7,17 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// A key as boxes hold it and tell it to each other: the first 128 bits of its SHA-256.
+/// The first 128 bits of a key's SHA-256 hash. Boxes store and exchange keys in this form.
 ///
-/// The key itself is forgotten as soon as the operator's document is read, so no box can show
-/// it. Keys are looked up by this hash, so the time of a look-up tells nothing about how much
-/// of a guess was right.
+/// The key itself is dropped as soon as the operator's document is parsed, so no box can leak
+/// it. Since keys are looked up by this hash, the duration of a lookup doesn't reveal how much of
+/// a guessed key is right.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct KeyDigest(u128);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Returns the digest of a key.
     pub fn of(key: &[u8]) -> Self {
         let digest = Sha256::digest(key);
         let mut first = [0; 16];
@@ -25,7 +25,7 @@
         Self(u128::from_be_bytes(first))
     }
 
-    /// Folds the digest into 64 bits, for the mark of a configuration.
+    /// Folds the digest into 64 bits, for the fingerprint of a configuration.
     pub(crate) fn folded(self) -> u64 {
         (self.0 >> 64) as u64 ^ self.0 as u64
     }
@@ -37,25 +37,25 @@
     }
 }
 
-/// How many requests a workspace may run, counted over all boxes.
+/// The fleet-wide request limit of a workspace.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct QuotaLimit {
-    /// Requests a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// Requests on top of that, once.
+    /// Requests allowed on top of the rate, once.
     pub burst: f64,
 }
 
-/// What operators say of a workspace.
+/// The operators' settings of a workspace.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct WorkspaceConfig {
-    /// The keys that its clients show.
+    /// The keys of its clients.
     pub keys: BTreeSet<KeyDigest>,
-    /// Rank of its requests, before that of their route; 0 is highest.
+    /// Priority of its requests, compared before that of their route; 0 is the highest.
     pub priority: u32,
-    /// `None` where nothing limits it.
+    /// `None` if it has no limit.
     pub quota: Option<QuotaLimit>,
-    /// The only regions where its requests may go; empty allows all.
+    /// The regions that its requests may go to; empty allows all.
     pub allowed_regions: BTreeSet<Region>,
 }
 
@@ -64,11 +64,11 @@
 pub struct KnownWorkspace {
     /// Its name.
     pub name: Workspace,
-    /// What operators say of it.
+    /// The operators' settings of it.
     pub config: WorkspaceConfig,
 }
 
-/// Finds the workspace that holds a key, in a time that doesn't grow with their number.
+/// Maps keys to workspaces in constant time.
 #[derive(Debug, Default)]
 pub struct KeyTable {
     by_key: HashMap<KeyDigest, Arc<KnownWorkspace>>,
@@ -76,7 +76,7 @@
 }
 
 impl KeyTable {
-    /// The keys of `workspaces`.
+    /// Creates a table of the keys of `workspaces`.
     pub fn new<'a>(workspaces: impl Iterator<Item = (&'a Workspace, &'a WorkspaceConfig)>) -> Self {
         let mut table = Self::default();
         for (name, config) in workspaces {
@@ -93,12 +93,12 @@
         table
     }
 
-    /// Whether requests need a key at all: where no workspace is configured, none does.
+    /// Returns whether any workspace is configured. If none is, requests need no key.
     pub fn has_workspaces(&self) -> bool {
         self.has_workspaces
     }
 
-    /// The workspace that holds `key`.
+    /// Returns the workspace that holds `key`.
     pub fn find(&self, key: &[u8]) -> Option<&Arc<KnownWorkspace>> {
         self.by_key.get(&KeyDigest::of(key))
     }
@@ -108,28 +108,28 @@
 /// An empty set allows all.
 #[derive(Clone, Copy, Debug)]
 pub struct RegionLimits<'a> {
-    /// The route's.
+    /// The regions that the route allows.
     pub route: &'a BTreeSet<Region>,
-    /// The workspace's; `None` for a request of no workspace.
+    /// The regions that the workspace allows; `None` for a request without a workspace.
     pub workspace: Option<&'a BTreeSet<Region>>,
 }
 
 impl RegionLimits<'_> {
-    /// Whether a request may go to `region`.
+    /// Returns whether a request may go to `region`.
     pub fn allow(&self, region: &Region) -> bool {
         let allows = |regions: &BTreeSet<Region>| regions.is_empty() || regions.contains(region);
         allows(self.route) && self.workspace.is_none_or(allows)
     }
 }
 
-/// How urgent a request is: the rank of its workspace counts before that of its route. Lower
-/// ranks are more urgent.
+/// The urgency of a request. Workspace priorities are compared before route priorities; lower
+/// values are more urgent.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Rank {
-    /// The workspace's.
+    /// The workspace's priority.
     pub workspace: u32,
-    /// The route's.
+    /// The route's priority.
     pub route: u32,
 }
