--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -9,10 +9,10 @@
 pub const LONGEST_TIME_S: f64 = 86_400.0;
 
 /// Largest weight of a back end.
-const MOST_WEIGHT: f64 = 1e12;
+const MAX_WEIGHT: f64 = 1e12;
 
 /// Highest rate of a service or a workspace, in requests per second, and largest burst.
-const MOST_RATE_PER_S: f64 = 1e9;
+const MAX_RATE_PER_S: f64 = 1e9;
 
 /// The version of a configuration; a higher number is newer.
 #[derive(
@@ -156,7 +156,7 @@
     NoBackend(String),
     /// A number is negative, too large or not a number.
     #[error("{field} of {owner} is {value}, which is out of range")]
-    OddNumber {
+    InvalidNumber {
         /// The route, service or workspace, or `limits`.
         owner: String,
         /// The setting.
@@ -174,10 +174,10 @@
     },
     /// A workspace's name is empty or has characters that a header can't carry.
     #[error("workspace name {0:?} is empty or can't be sent in a header")]
-    WorkspaceName(Workspace),
+    InvalidWorkspaceName(Workspace),
     /// Two workspaces hold the same key.
     #[error("workspaces {first} and {second} hold the same key")]
-    SharedKey {
+    DuplicateKey {
         /// One workspace.
         first: Workspace,
         /// The other.
@@ -206,9 +206,9 @@
 
     fn check_workspace_names(&self) -> Result<(), ConfigError> {
         let is_visible = |name: &str| name.bytes().all(|byte| byte.is_ascii_graphic());
-        let is_odd = |name: &&Workspace| name.as_str().is_empty() || !is_visible(name.as_str());
-        match self.workspaces.keys().find(is_odd) {
-            Some(name) => Err(ConfigError::WorkspaceName(name.clone())),
+        let is_invalid = |name: &&Workspace| name.as_str().is_empty() || !is_visible(name.as_str());
+        match self.workspaces.keys().find(is_invalid) {
+            Some(name) => Err(ConfigError::InvalidWorkspaceName(name.clone())),
             None => Ok(()),
         }
     }
@@ -219,7 +219,7 @@
         for (name, workspace) in &self.workspaces {
             for key in &workspace.keys {
                 if let Some(first) = holders.insert(*key, name) {
-                    return Err(ConfigError::SharedKey {
+                    return Err(ConfigError::DuplicateKey {
                         first: first.clone(),
                         second: name.clone(),
                     });
@@ -232,20 +232,20 @@
     fn check_numbers(&self) -> Result<(), ConfigError> {
         for route in &self.routes {
             for backend in &route.backends {
-                check_number(&route.name, "weight", backend.weight, MOST_WEIGHT)?;
+                check_number(&route.name, "weight", backend.weight, MAX_WEIGHT)?;
             }
             let timeout_s = route.timeout_s.unwrap_or(0.0);
             check_number(&route.name, "time-out", timeout_s, LONGEST_TIME_S)?;
         }
         for (name, service) in &self.services {
             let owner = name.as_str();
-            check_number(owner, "cold rate", service.cold_per_s, MOST_RATE_PER_S)?;
+            check_number(owner, "cold rate", service.cold_per_s, MAX_RATE_PER_S)?;
             check_number(owner, "cold period", service.cold_period_s, LONGEST_TIME_S)?;
         }
         for (name, workspace) in &self.workspaces {
             if let Some(quota) = workspace.quota {
-                check_number(name.as_str(), "rate", quota.rate_per_s, MOST_RATE_PER_S)?;
-                check_number(name.as_str(), "burst", quota.burst, MOST_RATE_PER_S)?;
+                check_number(name.as_str(), "rate", quota.rate_per_s, MAX_RATE_PER_S)?;
+                check_number(name.as_str(), "burst", quota.burst, MAX_RATE_PER_S)?;
             }
         }
         let limits = &self.limits;
@@ -261,15 +261,15 @@
     /// Returns the rank of the most urgent requests for `service`: that of the most urgent route
     /// to it and the most urgent workspace.
     pub fn most_urgent(&self, service: &Service) -> Rank {
-        let goes_there = |route: &&Route| {
+        let has_service = |route: &&Route| {
             let mut backends = route.backends.iter();
             backends.any(|backend| &backend.service == service && backend.weight > 0.0)
         };
-        let ranks = self.routes.iter().filter(goes_there);
+        let routes = self.routes.iter().filter(has_service);
         let workspaces = self.workspaces.values();
         Rank {
-            workspace: workspaces.map(|held| held.priority).min().unwrap_or(0),
-            route: ranks.map(|route| route.priority).min().unwrap_or(0),
+            workspace: workspaces.map(|workspace| workspace.priority).min().unwrap_or(0),
+            route: routes.map(|route| route.priority).min().unwrap_or(0),
         }
     }
 
@@ -303,12 +303,12 @@
     owner: &str,
     field: &'static str,
     value: f64,
-    most: f64,
+    max: f64,
 ) -> Result<(), ConfigError> {
-    if (0.0..=most).contains(&value) {
+    if (0.0..=max).contains(&value) {
         return Ok(());
     }
-    Err(ConfigError::OddNumber {
+    Err(ConfigError::InvalidNumber {
         owner: owner.to_owned(),
         field,
         value,
--- a/crates/routing/src/config_patch.rs
+++ b/crates/routing/src/config_patch.rs
@@ -11,7 +11,7 @@
 
 /// Most patches kept for boxes that are behind. A burst of changes adds three per second, and
 /// boxes are a few seconds behind; one that is further behind gets the whole configuration.
-const KEPT_PATCHES: usize = 32;
+const MAX_KEPT_PATCHES: usize = 32;
 
 /// Identifies a configuration by its version and content. A patch applies to one exact content,
 /// and boxes may have read the same version differently.
@@ -54,13 +54,13 @@
         quota,
         allowed_regions,
     } = workspace;
-    let told = format!("{name:?} {priority} {quota:?} {allowed_regions:?}");
+    let fields = format!("{name:?} {priority} {quota:?} {allowed_regions:?}");
     // Keys are hashed one by one, since their debug form hides the digest.
-    let keys = keys.iter().map(|key| key.folded());
+    let keys = keys.iter().map(|key| key.fold_to_u64());
     let mixed = keys.map(|key| xxh3_64(&key.to_be_bytes()));
     // The hash also covers which workspace holds a key.
-    let held = mixed.fold(xxh3_64(told.as_bytes()), u64::wrapping_add);
-    xxh3_64(&held.to_be_bytes())
+    let hash = mixed.fold(xxh3_64(fields.as_bytes()), u64::wrapping_add);
+    xxh3_64(&hash.to_be_bytes())
 }
 
 /// The host and path prefix of a route, which identify it within a configuration.
@@ -107,10 +107,10 @@
 impl ConfigPatch {
     /// Returns the patch that turns `base` into `newer`.
     pub fn between(base: &SteeringConfig, newer: &SteeringConfig) -> Self {
-        let held = by_place(&base.routes);
-        let wanted = by_place(&newer.routes);
-        let is_changed = |route: &&Route| held.get(&place(route)) != Some(route);
-        let is_removed = |route: &&Route| !wanted.contains_key(&place(route));
+        let base_routes = by_key(&base.routes);
+        let newer_routes = by_key(&newer.routes);
+        let is_changed = |route: &&Route| base_routes.get(&route_key(route)) != Some(route);
+        let is_removed = |route: &&Route| !newer_routes.contains_key(&route_key(route));
         Self {
             base: ConfigMark::of(base),
             version: newer.version,
@@ -132,17 +132,17 @@
     /// Applies the patch to `base`, which must be the configuration that it was made for. Added
     /// routes come last.
     pub fn apply(&self, base: &SteeringConfig) -> SteeringConfig {
-        let removed: HashSet<(&str, &str)> = self.removed_routes.iter().map(as_place).collect();
-        let mut changed = by_place(&self.changed_routes);
+        let removed: HashSet<(&str, &str)> = self.removed_routes.iter().map(as_key).collect();
+        let mut changed = by_key(&self.changed_routes);
         let mut routes = Vec::with_capacity(base.routes.len() + self.changed_routes.len());
         for route in &base.routes {
-            if removed.contains(&place(route)) {
+            if removed.contains(&route_key(route)) {
                 continue;
             }
-            let newer = changed.remove(&place(route));
+            let newer = changed.remove(&route_key(route));
             routes.push(newer.unwrap_or(route).clone());
         }
-        let is_added = |route: &&Route| changed.contains_key(&place(route));
+        let is_added = |route: &&Route| changed.contains_key(&route_key(route));
         routes.extend(self.changed_routes.iter().filter(is_added).cloned());
         SteeringConfig {
             version: self.version,
@@ -201,16 +201,16 @@
 }
 
 /// Returns a route's host and prefix, borrowed.
-fn place(route: &Route) -> (&str, &str) {
+fn route_key(route: &Route) -> (&str, &str) {
     (&route.host, &route.path_prefix)
 }
 
-fn as_place(place: &RoutePlace) -> (&str, &str) {
-    (&place.host, &place.path_prefix)
+fn as_key(route_key: &RoutePlace) -> (&str, &str) {
+    (&route_key.host, &route_key.path_prefix)
 }
 
-fn by_place(routes: &[Route]) -> HashMap<(&str, &str), &Route> {
-    routes.iter().map(|route| (place(route), route)).collect()
+fn by_key(routes: &[Route]) -> HashMap<(&str, &str), &Route> {
+    routes.iter().map(|route| (route_key(route), route)).collect()
 }
 
 /// The latest patches, each based on the result of the one before. Together they name at most
@@ -229,9 +229,9 @@
             self.patches.clear();
         }
         self.patches.push_back(patch);
-        let most = current.routes.len() + current.services.len() + current.workspaces.len();
+        let max_named = current.routes.len() + current.services.len() + current.workspaces.len();
         let mut named: usize = self.patches.iter().map(|patch| patch.len()).sum();
-        while named > most || self.patches.len() > KEPT_PATCHES {
+        while named > max_named || self.patches.len() > MAX_KEPT_PATCHES {
             let Some(first) = self.patches.pop_front() else {
                 break;
             };
--- a/crates/routing/src/fleet_size.rs
+++ b/crates/routing/src/fleet_size.rs
@@ -19,36 +19,36 @@
 
 /// How long a box waits for a reported size before it uses the number of live boxes, in
 /// milliseconds. This is longer than the store's occasional pauses.
-const UNKNOWN_MS: Millis = 15_000;
+const SIZE_WAIT_MS: Millis = 15_000;
 
 /// The size in the store is lowered only if the fleet is smaller than this fraction of it, so
 /// that boxes that restart one after another don't cause a store call each.
-const SMALLER_PART: f64 = 0.9;
+const SHRINK_FRACTION: f64 = 0.9;
 
 /// The maximum of a number over the last one to two times [`REMEMBERED_MS`].
 #[derive(Clone, Copy, Debug, Default)]
-struct Largest {
-    since: Millis,
-    now: u32,
-    before: u32,
+struct WindowedMax {
+    window_start: Millis,
+    current: u32,
+    previous: u32,
 }
 
-impl Largest {
-    fn take(&mut self, number: u32, now: Millis) {
-        if now.saturating_sub(self.since) >= REMEMBERED_MS {
-            self.before = std::mem::take(&mut self.now);
-            self.since = now;
+impl WindowedMax {
+    fn record(&mut self, value: u32, now: Millis) {
+        if now.saturating_sub(self.window_start) >= REMEMBERED_MS {
+            self.previous = std::mem::take(&mut self.current);
+            self.window_start = now;
         }
-        self.now = self.now.max(number);
+        self.current = self.current.max(value);
     }
 
     fn get(&self) -> u32 {
-        self.now.max(self.before)
+        self.current.max(self.previous)
     }
 
     /// Returns whether a whole period has passed.
     fn is_complete(&self) -> bool {
-        self.before > 0
+        self.previous > 0
     }
 }
 
@@ -68,31 +68,31 @@
 #[derive(Debug, Default)]
 pub struct FleetSize {
     started_at: Option<Millis>,
-    heard: Largest,
+    alive: WindowedMax,
     /// Sizes reported by other boxes; 0 if there are none.
-    told: Largest,
+    reported: WindowedMax,
     /// The size in the store, 0 if it has none; `None` until the store was read.
-    recorded: Option<u32>,
+    stored: Option<u32>,
 }
 
 impl FleetSize {
     /// Records the number of live boxes, including this one, and the largest size that one of
     /// them reports, 0 if none does.
-    pub fn hear(&mut self, boxes: usize, told: u32, now: Millis) {
+    pub fn hear(&mut self, boxes: usize, reported: u32, now: Millis) {
         self.started_at.get_or_insert(now);
-        self.heard
-            .take(u32::try_from(boxes).unwrap_or(u32::MAX), now);
-        self.told.take(told, now);
+        self.alive
+            .record(u32::try_from(boxes).unwrap_or(u32::MAX), now);
+        self.reported.record(reported, now);
     }
 
     /// Records the size in the store; 0 if no box has written one yet.
     pub fn recorded(&mut self, boxes: u32) {
-        self.recorded = Some(boxes);
+        self.stored = Some(boxes);
     }
 
     /// Returns the fleet size and its source.
     pub fn known(&self, now: Millis) -> KnownSize {
-        if self.recorded.is_some() || self.told.get() > 0 {
+        if self.stored.is_some() || self.reported.get() > 0 {
             KnownSize::Told(self.boxes())
         } else if self.has_waited(now) {
             KnownSize::Heard
@@ -103,32 +103,32 @@
 
     /// Returns the largest known number of boxes, at least 1.
     pub fn boxes(&self) -> usize {
-        self.own().max(self.told.get()).max(1) as usize
+        self.own_size().max(self.reported.get()).max(1) as usize
     }
 
     /// Returns the size to report to other boxes. It is 0 until the store was read, since the
     /// live boxes may be only one side of a partition.
     pub fn to_tell(&self) -> u32 {
-        self.recorded.map_or(0, |_| self.own())
+        self.stored.map_or(0, |_| self.own_size())
     }
 
     /// Returns the size to write to the store, if the one there has to change.
     pub fn to_record(&self) -> Option<u32> {
-        let recorded = self.recorded?;
-        let heard = self.heard.get();
-        let is_smaller = f64::from(heard) < f64::from(recorded) * SMALLER_PART;
+        let stored = self.stored?;
+        let alive = self.alive.get();
+        let is_smaller = f64::from(alive) < f64::from(stored) * SHRINK_FRACTION;
         // This box doesn't know which boxes were alive before it started, so it waits for a
         // whole period.
-        let may_shrink = self.heard.is_complete();
-        (heard > recorded || (is_smaller && may_shrink)).then_some(heard)
+        let may_shrink = self.alive.is_complete();
+        (alive > stored || (is_smaller && may_shrink)).then_some(alive)
     }
 
     fn has_waited(&self, now: Millis) -> bool {
-        let waited = |started_at: Millis| now.saturating_sub(started_at) >= UNKNOWN_MS;
+        let waited = |started_at: Millis| now.saturating_sub(started_at) >= SIZE_WAIT_MS;
         self.started_at.is_some_and(waited)
     }
 
-    fn own(&self) -> u32 {
-        self.heard.get().max(self.recorded.unwrap_or(0))
+    fn own_size(&self) -> u32 {
+        self.alive.get().max(self.stored.unwrap_or(0))
     }
 }
--- a/crates/routing/src/fleet_state/evacuations.rs
+++ b/crates/routing/src/fleet_state/evacuations.rs
@@ -24,11 +24,11 @@
         if held.is_some_and(|held| held.revision >= revision) {
             return false;
         }
-        let was_open = held.is_some_and(|held| held.ended_at.is_none());
+        let was_active = held.is_some_and(|held| held.ended_at.is_none());
         let ended_at = None;
         let evacuation = Evacuation { revision, ended_at };
         self.by_zone.insert(zone, evacuation);
-        !was_open
+        !was_active
     }
 
     /// Records the end of an evacuation. Returns whether the zone was evacuated until now.
@@ -44,7 +44,7 @@
         true
     }
 
-    pub(super) fn is_open(&self, zone: &Zone) -> bool {
+    pub(super) fn is_active(&self, zone: &Zone) -> bool {
         let held = self.by_zone.get(zone);
         held.is_some_and(|evacuation| evacuation.ended_at.is_none())
     }
@@ -53,17 +53,17 @@
         self.by_zone.get(zone)?.ended_at
     }
 
-    pub(super) fn open_keys(&self) -> Vec<ChangeKey> {
-        let keys = self.open().map(|(zone, _)| zone.clone());
+    pub(super) fn active_keys(&self) -> Vec<ChangeKey> {
+        let keys = self.active().map(|(zone, _)| zone.clone());
         keys.map(ChangeKey::Evacuation).collect()
     }
 
-    pub(super) fn open_entries(&self) -> Vec<Revised> {
+    pub(super) fn active_entries(&self) -> Vec<Revised> {
         let entry = |(zone, evacuation): (&Zone, &Evacuation)| Revised {
             revision: evacuation.revision,
             change: Change::Evacuated(zone.clone()),
         };
-        self.open().map(entry).collect()
+        self.active().map(entry).collect()
     }
 
     pub(super) fn ended_entries(&self) -> Vec<Revised> {
--- a/crates/routing/src/fleet_state/held_config.rs
+++ b/crates/routing/src/fleet_state/held_config.rs
@@ -20,7 +20,7 @@
 pub(super) struct HeldConfig {
     newest: Option<Arc<SteeringConfig>>,
     /// The fingerprint of the newest configuration.
-    mark: Option<ConfigMark>,
+    fingerprint: Option<ConfigMark>,
     /// The last revision that wrote a configuration, whatever its version.
     revision: Revision,
     patches: PatchHistory,
@@ -31,8 +31,8 @@
         self.newest.as_ref()
     }
 
-    pub(super) fn mark(&self) -> Option<ConfigMark> {
-        self.mark
+    pub(super) fn fingerprint(&self) -> Option<ConfigMark> {
+        self.fingerprint
     }
 
     /// Replaces the configuration if `config` is newer. Returns whether it is.
@@ -45,7 +45,7 @@
             let patch = ConfigPatch::between(held, &config);
             self.patches.push(Arc::new(patch), &config);
         }
-        self.hold(config);
+        self.set_newest(config);
         true
     }
 
@@ -58,24 +58,24 @@
         self.revision = self.revision.max(revision);
         let mut is_newer = false;
         for patch in patches {
-            is_newer |= self.step(patch);
+            is_newer |= self.apply_patch(patch);
         }
         is_newer
     }
 
-    fn step(&mut self, patch: &Arc<ConfigPatch>) -> bool {
+    fn apply_patch(&mut self, patch: &Arc<ConfigPatch>) -> bool {
         let held = self.newest.as_ref();
         let Some(base) = held.filter(|held| held.version == patch.base.version) else {
             return false;
         };
         let config = patch.apply(base);
         self.patches.push(Arc::clone(patch), &config);
-        self.hold(Arc::new(config));
+        self.set_newest(Arc::new(config));
         true
     }
 
-    fn hold(&mut self, config: Arc<SteeringConfig>) {
-        self.mark = Some(ConfigMark::of(&config));
+    fn set_newest(&mut self, config: Arc<SteeringConfig>) {
+        self.fingerprint = Some(ConfigMark::of(&config));
         self.newest = Some(config);
     }
 
@@ -85,9 +85,9 @@
         let version = self.version();
         let needed = patches.iter().find(|patch| Some(patch.version) > version);
         match needed {
-            Some(patch) if Some(patch.base) != self.mark => Err(PatchMismatch {
+            Some(patch) if Some(patch.base) != self.fingerprint => Err(PatchMismatch {
                 base: patch.base,
-                held: self.mark,
+                held: self.fingerprint,
             }),
             _ => Ok(()),
         }
@@ -96,8 +96,8 @@
     /// Returns the configuration entry for a peer that holds `holds`: the patches from there, or
     /// the whole configuration.
     pub(super) fn entry_since(&self, holds: Option<ConfigMark>) -> Option<Revised> {
-        let (newest, mark) = (self.newest.as_ref()?, self.mark?);
-        let patches = holds.and_then(|holds| self.patches.since(holds, mark));
+        let (newest, fingerprint) = (self.newest.as_ref()?, self.fingerprint?);
+        let patches = holds.and_then(|holds| self.patches.since(holds, fingerprint));
         let change = match patches {
             Some(patches) => Change::ConfigPatched(patches),
             None => Change::Config(Arc::clone(newest)),
@@ -107,6 +107,6 @@
     }
 
     fn version(&self) -> Option<ConfigVersion> {
-        self.mark.map(|mark| mark.version)
+        self.fingerprint.map(|fingerprint| fingerprint.version)
     }
 }
--- a/crates/routing/src/fleet_state/mod.rs
+++ b/crates/routing/src/fleet_state/mod.rs
@@ -30,7 +30,7 @@
     config: HeldConfig,
     evacuations: Evacuations,
     upstreams: UpstreamEntries,
-    scopes: BTreeMap<Scope, Followed>,
+    scopes: BTreeMap<Scope, ScopeProgress>,
     views: BTreeMap<Scope, View>,
     /// When the store last failed to serve this box.
     store_failed_at: Option<Millis>,
@@ -38,7 +38,7 @@
 
 /// How far a scope is known.
 #[derive(Clone, Copy, Debug, Default)]
-struct Followed {
+struct ScopeProgress {
     /// Every change up to here is known.
     newest: Revision,
     /// All changes after this revision are kept, including removals.
@@ -68,6 +68,7 @@
         changes: Vec<Revised>,
     },
     /// All entries, if the changes are no longer kept.
+    #[serde(rename = "Whole")]
     Whole(Snapshot),
 }
 
@@ -81,7 +82,7 @@
             Change::Evacuated(zone) => self.evacuations.begin(zone, revision),
             Change::Upstream(record) => self.upstreams.insert(record, revision, now),
             Change::Unreadable(id) => self.upstreams.make_unreadable(&id, revision, now),
-            Change::Gone(key) => self.apply_gone(&key, revision, now),
+            Change::Gone(key) => self.apply_removal(&key, revision, now),
         }
     }
 
@@ -117,23 +118,23 @@
         let mut changed = false;
         for key in self.keys(snapshot.scope) {
             if !listed.contains(&key) {
-                changed |= self.apply_gone(&key, snapshot.at, now);
+                changed |= self.apply_removal(&key, snapshot.at, now);
             }
         }
         for entry in snapshot.entries {
             changed |= self.apply_unless_known(entry, newest, now);
         }
-        let followed = self.scopes.entry(snapshot.scope).or_insert(Followed {
+        let progress = self.scopes.entry(snapshot.scope).or_insert(ScopeProgress {
             newest: snapshot.at,
             kept_since: snapshot.at,
         });
-        if snapshot.at > followed.newest {
+        if snapshot.at > progress.newest {
             // This box doesn't know which entries were added and removed in between, so peers
             // can't get those removals from it.
-            followed.kept_since = snapshot.at;
-            followed.newest = snapshot.at;
+            progress.kept_since = snapshot.at;
+            progress.newest = snapshot.at;
         }
-        self.settle(snapshot.scope);
+        self.apply_pending(snapshot.scope);
         changed
     }
 
@@ -145,10 +146,10 @@
         for change in changes {
             changed |= self.apply_unless_known(change, known, now);
         }
-        if let (Some(newest), Some(followed)) = (newest, self.scopes.get_mut(&scope)) {
-            followed.newest = followed.newest.max(newest);
+        if let (Some(newest), Some(progress)) = (newest, self.scopes.get_mut(&scope)) {
+            progress.newest = progress.newest.max(newest);
         }
-        self.settle(scope);
+        self.apply_pending(scope);
         changed
     }
 
@@ -158,8 +159,8 @@
     ///
     /// Fails and applies nothing if its configuration patches are based on a configuration that
     /// this box doesn't hold (any more): the data must be requested again.
-    pub fn catch_up(&mut self, news: CatchUp, now: Millis) -> Result<bool, PatchMismatch> {
-        let changes = match &news {
+    pub fn catch_up(&mut self, received: CatchUp, now: Millis) -> Result<bool, PatchMismatch> {
+        let changes = match &received {
             CatchUp::Whole(snapshot) => &snapshot.entries,
             CatchUp::Changes { changes, .. } => changes,
         };
@@ -168,18 +169,18 @@
                 self.config.check(patches)?;
             }
         }
-        Ok(self.apply_news(news, now))
+        Ok(self.apply_received(received, now))
     }
 
-    fn apply_news(&mut self, news: CatchUp, now: Millis) -> bool {
-        match news {
+    fn apply_received(&mut self, received: CatchUp, now: Millis) -> bool {
+        match received {
             CatchUp::Whole(snapshot) => self.apply_snapshot(snapshot, now),
             CatchUp::Changes { scope, at, changes } => {
                 let changed = self.apply_changes(scope, changes, now);
-                if let Some(followed) = self.scopes.get_mut(&scope) {
-                    followed.newest = followed.newest.max(at);
+                if let Some(progress) = self.scopes.get_mut(&scope) {
+                    progress.newest = progress.newest.max(at);
                 }
-                self.settle(scope);
+                self.apply_pending(scope);
                 changed
             }
         }
@@ -188,13 +189,13 @@
     /// Returns the revision up to which everything in `scope` is known; `None` before the first
     /// listing.
     pub fn newest(&self, scope: Scope) -> Option<Revision> {
-        self.scopes.get(&scope).map(|followed| followed.newest)
+        self.scopes.get(&scope).map(|progress| progress.newest)
     }
 
     /// Records a watermark of `scope` from the store or from a peer.
-    pub fn claim(&mut self, scope: Scope, claim: Claim) {
+    pub fn claim(&mut self, scope: Scope, watermark: Claim) {
         let newest = self.newest(scope);
-        self.views.entry(scope).or_default().take(claim, newest);
+        self.views.entry(scope).or_default().record(watermark, newest);
     }
 
     /// Returns the time on this box's clock as of which everything in `scope` is known; `None`
@@ -213,7 +214,7 @@
 
     /// Returns the latest revision of `scope` that was reported by others and isn't known yet.
     pub fn awaited(&self, scope: Scope) -> Option<Revision> {
-        self.views.get(&scope)?.awaited()
+        self.views.get(&scope)?.pending_revision()
     }
 
     /// Records that the store failed to serve this box.
@@ -224,7 +225,7 @@
     /// Returns what is known of an upstream's entry that is no longer there; `None` if it never
     /// existed, has a newer unusable entry, or was removed long ago.
     pub fn lost_entry(&self, id: &UpstreamId) -> Option<LostEntry> {
-        let present_as_of = self.upstreams.gone_present_as_of(id)?;
+        let present_as_of = self.upstreams.lost_present_as_of(id)?;
         let store_failed = self.store_failed_at > present_as_of;
         Some(LostEntry {
             present_as_of,
@@ -232,10 +233,10 @@
         })
     }
 
-    fn settle(&mut self, scope: Scope) {
+    fn apply_pending(&mut self, scope: Scope) {
         let newest = self.newest(scope);
         if let Some(view) = self.views.get_mut(&scope) {
-            view.settle(newest);
+            view.apply_pending(newest);
         }
     }
 
@@ -248,20 +249,20 @@
         after: Option<Revision>,
         holds: Option<ConfigMark>,
     ) -> Option<CatchUp> {
-        let followed = self.scopes.get(&scope)?;
-        let at = followed.newest;
+        let progress = self.scopes.get(&scope)?;
+        let at = progress.newest;
         let entries = match scope {
             Scope::Operator => self.operator_entries(holds),
             Scope::Upstreams => self.upstreams.entries(),
         };
-        let Some(after) = after.filter(|after| *after >= followed.kept_since) else {
+        let Some(after) = after.filter(|after| *after >= progress.kept_since) else {
             return Some(CatchUp::Whole(Snapshot { scope, at, entries }));
         };
-        let gone = match scope {
+        let removals = match scope {
             Scope::Operator => self.evacuations.ended_entries(),
-            Scope::Upstreams => self.upstreams.gone_entries(),
+            Scope::Upstreams => self.upstreams.tombstone_entries(),
         };
-        let changes = entries.into_iter().chain(gone);
+        let changes = entries.into_iter().chain(removals);
         let changes = changes.filter(|change| change.revision > after).collect();
         Some(CatchUp::Changes { scope, at, changes })
     }
@@ -273,7 +274,7 @@
 
     /// Returns the fingerprint of the configuration in force.
     pub fn config_mark(&self) -> Option<ConfigMark> {
-        self.config.mark()
+        self.config.fingerprint()
     }
 
     /// Returns all upstreams that have an entry, with the time at which it was received.
@@ -283,7 +284,7 @@
 
     /// Returns whether `zone` is evacuated.
     pub fn is_evacuated(&self, zone: &Zone) -> bool {
-        self.evacuations.is_open(zone)
+        self.evacuations.is_active(zone)
     }
 
     /// Returns when the last evacuation of `zone` ended; `None` if none did or one lasts.
@@ -293,36 +294,36 @@
 
     fn keys(&self, scope: Scope) -> Vec<ChangeKey> {
         match scope {
-            Scope::Operator => self.evacuations.open_keys(),
+            Scope::Operator => self.evacuations.active_keys(),
             Scope::Upstreams => self.upstreams.keys(),
         }
     }
 
-    fn apply_gone(&mut self, key: &ChangeKey, revision: Revision, now: Millis) -> bool {
+    fn apply_removal(&mut self, key: &ChangeKey, revision: Revision, now: Millis) -> bool {
         match key {
             // A configuration stays in force until a newer one replaces it.
             ChangeKey::Config => false,
             ChangeKey::Evacuation(zone) => self.evacuations.end(zone, revision, now),
             ChangeKey::Upstream(id) => {
-                let forgotten = self.upstreams.forget_gone(now);
-                self.keep_since(Scope::Upstreams, forgotten);
+                let dropped = self.upstreams.drop_expired_tombstones(now);
+                self.keep_since(Scope::Upstreams, dropped);
                 let present_as_of = self.whole_as_of(Scope::Upstreams);
                 self.upstreams.remove(id, revision, now, present_as_of)
             }
         }
     }
 
-    /// Records that removals up to `forgotten` are no longer kept; peers that lack them get all
+    /// Records that removals up to `dropped` are no longer kept; peers that lack them get all
     /// entries.
-    fn keep_since(&mut self, scope: Scope, forgotten: Revision) {
-        if let Some(followed) = self.scopes.get_mut(&scope) {
-            followed.kept_since = followed.kept_since.max(forgotten);
+    fn keep_since(&mut self, scope: Scope, dropped: Revision) {
+        if let Some(progress) = self.scopes.get_mut(&scope) {
+            progress.kept_since = progress.kept_since.max(dropped);
         }
     }
 
     fn operator_entries(&self, holds: Option<ConfigMark>) -> Vec<Revised> {
         let config = self.config.entry_since(holds);
-        let evacuations = self.evacuations.open_entries();
+        let evacuations = self.evacuations.active_entries();
         config.into_iter().chain(evacuations).collect()
     }
 }
--- a/crates/routing/src/fleet_state/upstream_entries.rs
+++ b/crates/routing/src/fleet_state/upstream_entries.rs
@@ -6,23 +6,23 @@
 use std::collections::BTreeMap;
 
 /// How long a removed entry's tombstone is kept, to reject older changes that arrive late.
-const KEEP_GONE_MS: Millis = 120_000;
+const TOMBSTONE_RETENTION_MS: Millis = 120_000;
 
 #[derive(Clone, Debug)]
 struct HeldUpstream {
     record: UpstreamRecord,
     revision: Revision,
     /// When the entry was received.
-    learned_at: Millis,
+    received_at: Millis,
 }
 
 /// The tombstone of a removed entry.
 #[derive(Clone, Copy, Debug)]
-struct GoneUpstream {
+struct Tombstone {
     revision: Revision,
     /// The entry exists in the store, but describes no usable upstream.
     is_unreadable: bool,
-    gone_at: Millis,
+    removed_at: Millis,
     /// The last time as of which the entry is known to have existed, if it was held.
     present_as_of: Option<Millis>,
 }
@@ -31,7 +31,7 @@
 #[derive(Debug, Default)]
 pub(super) struct UpstreamEntries {
     held: BTreeMap<UpstreamId, HeldUpstream>,
-    gone: BTreeMap<UpstreamId, GoneUpstream>,
+    tombstones: BTreeMap<UpstreamId, Tombstone>,
 }
 
 impl UpstreamEntries {
@@ -40,12 +40,12 @@
         &mut self,
         record: UpstreamRecord,
         revision: Revision,
-        learned_at: Millis,
+        received_at: Millis,
     ) -> bool {
         let held = self.held.get(&record.id);
-        let gone = self.gone.get(&record.id);
+        let tombstone = self.tombstones.get(&record.id);
         if held.is_some_and(|held| held.revision >= revision)
-            || gone.is_some_and(|gone| gone.revision >= revision)
+            || tombstone.is_some_and(|tombstone| tombstone.revision >= revision)
         {
             return false;
         }
@@ -60,7 +60,7 @@
         let held = HeldUpstream {
             record,
             revision,
-            learned_at,
+            received_at,
         };
         self.held.insert(held.record.id.clone(), held);
         true
@@ -80,19 +80,19 @@
             return false;
         }
         let was_held = self.held.remove(id).is_some();
-        let gone = self.gone.entry(id.clone()).or_insert(GoneUpstream {
+        let tombstone = self.tombstones.entry(id.clone()).or_insert(Tombstone {
             revision,
             is_unreadable: false,
-            gone_at: now,
+            removed_at: now,
             present_as_of,
         });
-        if revision >= gone.revision {
-            gone.revision = revision;
-            gone.is_unreadable = false;
+        if revision >= tombstone.revision {
+            tombstone.revision = revision;
+            tombstone.is_unreadable = false;
         }
         if was_held {
-            gone.gone_at = now;
-            gone.present_as_of = present_as_of;
+            tombstone.removed_at = now;
+            tombstone.present_as_of = present_as_of;
         }
         was_held
     }
@@ -107,36 +107,36 @@
     ) -> bool {
         let was_held = self.remove(id, revision, now, None);
         let is_held = self.held.contains_key(id);
-        if let Some(gone) = self.gone.get_mut(id).filter(|_| !is_held)
-            && gone.revision <= revision
+        if let Some(tombstone) = self.tombstones.get_mut(id).filter(|_| !is_held)
+            && tombstone.revision <= revision
         {
-            gone.is_unreadable = true;
+            tombstone.is_unreadable = true;
         }
         was_held
     }
 
-    pub(super) fn gone_present_as_of(&self, id: &UpstreamId) -> Option<Option<Millis>> {
-        let gone = self.gone.get(id).filter(|gone| !gone.is_unreadable);
-        gone.map(|gone| gone.present_as_of)
+    pub(super) fn lost_present_as_of(&self, id: &UpstreamId) -> Option<Option<Millis>> {
+        let tombstone = self.tombstones.get(id).filter(|tombstone| !tombstone.is_unreadable);
+        tombstone.map(|tombstone| tombstone.present_as_of)
     }
 
     /// Drops expired tombstones and returns the latest revision among them.
-    pub(super) fn forget_gone(&mut self, now: Millis) -> Revision {
-        let mut forgotten = Revision(0);
-        self.gone.retain(|_, gone| {
-            let is_kept = now.saturating_sub(gone.gone_at) < KEEP_GONE_MS;
+    pub(super) fn drop_expired_tombstones(&mut self, now: Millis) -> Revision {
+        let mut dropped = Revision(0);
+        self.tombstones.retain(|_, tombstone| {
+            let is_kept = now.saturating_sub(tombstone.removed_at) < TOMBSTONE_RETENTION_MS;
             if !is_kept {
-                forgotten = forgotten.max(gone.revision);
+                dropped = dropped.max(tombstone.revision);
             }
             is_kept
         });
-        forgotten
+        dropped
     }
 
     pub(super) fn records(&self) -> impl Iterator<Item = (&UpstreamRecord, Millis)> {
         self.held
             .values()
-            .map(|held| (&held.record, held.learned_at))
+            .map(|held| (&held.record, held.received_at))
     }
 
     pub(super) fn keys(&self) -> Vec<ChangeKey> {
@@ -151,15 +151,15 @@
         self.held.values().map(entry).collect()
     }
 
-    pub(super) fn gone_entries(&self) -> Vec<Revised> {
-        let entry = |(id, gone): (&UpstreamId, &GoneUpstream)| Revised {
-            revision: gone.revision,
-            change: if gone.is_unreadable {
+    pub(super) fn tombstone_entries(&self) -> Vec<Revised> {
+        let entry = |(id, tombstone): (&UpstreamId, &Tombstone)| Revised {
+            revision: tombstone.revision,
+            change: if tombstone.is_unreadable {
                 Change::Unreadable(id.clone())
             } else {
                 Change::Gone(ChangeKey::Upstream(id.clone()))
             },
         };
-        self.gone.iter().map(entry).collect()
+        self.tombstones.iter().map(entry).collect()
     }
 }
--- a/crates/routing/src/fleet_state/view.rs
+++ b/crates/routing/src/fleet_state/view.rs
@@ -9,7 +9,7 @@
 
 /// Most watermarks that are pending until the box knows their revision. One arrives every few
 /// hundred milliseconds, so one that eight others have followed is too old to be of use.
-const MOST_CLAIMS: usize = 8;
+const MAX_PENDING_WATERMARKS: usize = 8;
 
 /// A watermark of one scope: every change that the store had acknowledged at `as_of` has a
 /// revision of at most `revision`, and there is no later change up to revision `at`.
@@ -29,7 +29,7 @@
     as_of: Option<Millis>,
     at: Revision,
     /// Watermarks whose revision the box doesn't know yet.
-    awaited: VecDeque<Claim>,
+    pending: VecDeque<Claim>,
 }
 
 impl View {
@@ -44,30 +44,30 @@
     }
 
     /// Returns the latest pending revision.
-    pub(super) fn awaited(&self) -> Option<Revision> {
-        self.awaited.iter().map(|claim| claim.revision).max()
+    pub(super) fn pending_revision(&self) -> Option<Revision> {
+        self.pending.iter().map(|watermark| watermark.revision).max()
     }
 
     /// Records a watermark; everything up to `newest` is known.
-    pub(super) fn take(&mut self, claim: Claim, newest: Option<Revision>) {
-        if self.as_of.is_some_and(|as_of| as_of >= claim.as_of) {
+    pub(super) fn record(&mut self, watermark: Claim, newest: Option<Revision>) {
+        if self.as_of.is_some_and(|as_of| as_of >= watermark.as_of) {
             return;
         }
-        if self.awaited.len() >= MOST_CLAIMS {
-            self.awaited.pop_front();
+        if self.pending.len() >= MAX_PENDING_WATERMARKS {
+            self.pending.pop_front();
         }
-        self.awaited.push_back(claim);
-        self.settle(newest);
+        self.pending.push_back(watermark);
+        self.apply_pending(newest);
     }
 
     /// Applies the pending watermarks up to `newest`, the revision up to which everything is known.
-    pub(super) fn settle(&mut self, newest: Option<Revision>) {
+    pub(super) fn apply_pending(&mut self, newest: Option<Revision>) {
         let (as_of, at) = (&mut self.as_of, &mut self.at);
-        self.awaited.retain(|claim| {
-            let is_known = newest >= Some(claim.revision);
+        self.pending.retain(|watermark| {
+            let is_known = newest >= Some(watermark.revision);
             if is_known {
-                *as_of = (*as_of).max(Some(claim.as_of));
-                *at = (*at).max(claim.at);
+                *as_of = (*as_of).max(Some(watermark.as_of));
+                *at = (*at).max(watermark.at);
             }
             !is_known
         });
--- a/crates/routing/src/news_source.rs
+++ b/crates/routing/src/news_source.rs
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct NewsSources {
     avoided: HashMap<SocketAddr, Millis>,
-    last_failed: bool,
+    last_request_failed: bool,
 }
 
 impl NewsSources {
@@ -54,7 +54,7 @@
         self.avoided.retain(|_, until| *until > now);
         let rank = |candidate: &Candidate| {
             let is_avoided = self.avoided.contains_key(&candidate.peer);
-            if self.last_failed {
+            if self.last_request_failed {
                 let unknown = u64::MAX - candidate.revision.0;
                 (is_avoided, unknown, candidate.distance)
             } else {
@@ -70,12 +70,12 @@
     /// Records that `peer` answered a request.
     pub fn helped(&mut self, peer: SocketAddr) {
         self.avoided.remove(&peer);
-        self.last_failed = false;
+        self.last_request_failed = false;
     }
 
     /// Records that a request to `peer` failed.
     pub fn failed(&mut self, peer: SocketAddr, now: Millis) {
         self.avoided.insert(peer, now + AVOID_MS);
-        self.last_failed = true;
+        self.last_request_failed = true;
     }
 }
--- a/crates/routing/src/swim/member.rs
+++ b/crates/routing/src/swim/member.rs
@@ -97,7 +97,7 @@
     /// Whether it responds to probes.
     pub liveness: Liveness,
     pub(super) changed_at: Millis,
-    pub(super) spread_left: u32,
+    pub(super) transmissions_left: u32,
 }
 
 impl Member {
--- a/crates/routing/src/swim/message.rs
+++ b/crates/routing/src/swim/message.rs
@@ -45,7 +45,7 @@
     Sync {
         /// Whether the receiver is to reply with the members that it knows.
         #[serde(rename = "asks")]
-        asks: bool,
+        wants_reply: bool,
         /// The members.
         updates: Vec<Update>,
     },
--- a/crates/routing/src/swim/mod.rs
+++ b/crates/routing/src/swim/mod.rs
@@ -16,19 +16,19 @@
 use crate::change::{Revision, Scope};
 use brasswinch_types::{BoxId, Millis};
 use message::Update;
-use probing::{Errand, Probe};
+use probing::{IndirectProbe, Probe};
 use rand::Rng;
 use rand::seq::SliceRandom;
-use spreading::MOST_UPDATES;
+use spreading::MAX_UPDATES_PER_MESSAGE;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// Members to which a box announces its changed record at once; each of those that learn
 /// something new from it announces that to as many.
-const HINTED: usize = 3;
+const ANNOUNCE_FANOUT: usize = 3;
 
 /// How long a dead member is kept and still probed now and then.
-const KEEP_DEAD_MS: Millis = 60_000;
+const DEAD_RETENTION_MS: Millis = 60_000;
 
 /// Timing of the protocol, in milliseconds.
 #[derive(Clone, Copy, Debug)]
@@ -58,17 +58,17 @@
     me: MemberRecord,
     seeds: Vec<SocketAddr>,
     /// Addresses of boxes that were found elsewhere and are no members yet.
-    strangers: Vec<SocketAddr>,
+    contacts: Vec<SocketAddr>,
     members: BTreeMap<BoxId, Member>,
-    round: Vec<BoxId>,
+    probe_order: Vec<BoxId>,
     probe: Option<Probe>,
-    errands: BTreeMap<u32, Errand>,
+    indirect_probes: BTreeMap<u32, IndirectProbe>,
     next_sequence: u32,
     next_probe_at: Millis,
     next_sync_at: Millis,
     generation: u64,
     /// The latest revision of each scope that any box ever reported.
-    heard: BTreeMap<Scope, Revision>,
+    reported_revisions: BTreeMap<Scope, Revision>,
 }
 
 impl Swim {
@@ -82,16 +82,16 @@
             settings,
             me,
             seeds,
-            strangers: Vec::new(),
+            contacts: Vec::new(),
             members: BTreeMap::new(),
-            round: Vec::new(),
+            probe_order: Vec::new(),
             probe: None,
-            errands: BTreeMap::new(),
+            indirect_probes: BTreeMap::new(),
             next_sequence: 1,
             next_probe_at: 0,
             next_sync_at: 0,
             generation: 0,
-            heard: BTreeMap::new(),
+            reported_revisions: BTreeMap::new(),
         }
     }
 
@@ -125,7 +125,7 @@
 
     /// Returns the latest revision of `scope` that any box ever reported.
     pub fn newest_heard(&self, scope: Scope) -> Revision {
-        self.heard.get(&scope).copied().unwrap_or_default()
+        self.reported_revisions.get(&scope).copied().unwrap_or_default()
     }
 
     /// Returns a counter that is incremented when a box joins or when its liveness or published
@@ -183,11 +183,11 @@
     pub fn hints(&mut self, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut addresses = self.addresses(Liveness::Alive);
         addresses.shuffle(random);
-        addresses.truncate(HINTED);
+        addresses.truncate(ANNOUNCE_FANOUT);
         let mut out = Vec::new();
         for address in addresses {
             let sequence = self.new_sequence();
-            let updates = vec![self.my_update()];
+            let updates = vec![self.own_update()];
             out.push((address, SwimMessage::Ping { sequence, updates }));
         }
         out
@@ -202,20 +202,20 @@
     /// Sets the addresses of boxes found elsewhere. Some of those that belong to no live member
     /// are sent a sync request at the next tick. Returns how many belong to none.
     pub fn introduce(&mut self, addresses: impl Iterator<Item = SocketAddr>) -> usize {
-        let living = self.addresses(Liveness::Alive);
-        let is_stranger =
-            |address: &SocketAddr| *address != self.me.peer_address && !living.contains(address);
-        self.strangers = addresses.filter(is_stranger).collect();
-        if !self.strangers.is_empty() {
+        let alive = self.addresses(Liveness::Alive);
+        let is_contact =
+            |address: &SocketAddr| *address != self.me.peer_address && !alive.contains(address);
+        self.contacts = addresses.filter(is_contact).collect();
+        if !self.contacts.is_empty() {
             self.next_sync_at = 0;
         }
-        self.strangers.len()
+        self.contacts.len()
     }
 
     /// Runs the periodic work and returns the messages to send.
     pub fn tick(&mut self, now: Millis, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut out = Vec::new();
-        self.bury(now);
+        self.expire_members(now);
         self.check_probe(now, random, &mut out);
         if now >= self.next_probe_at {
             self.next_probe_at = now + self.settings.period_ms;
@@ -238,12 +238,12 @@
         match message {
             SwimMessage::Ping { sequence, updates } => {
                 self.merge_all(updates, now);
-                let updates = self.news();
+                let updates = self.updates_to_send();
                 vec![(from, SwimMessage::Ack { sequence, updates })]
             }
             SwimMessage::Ack { sequence, updates } => {
                 self.merge_all(updates, now);
-                self.acknowledged(sequence)
+                self.handle_ack(sequence)
             }
             SwimMessage::PingRequest {
                 sequence,
@@ -251,18 +251,18 @@
                 updates,
             } => {
                 self.merge_all(updates, now);
-                self.run_errand(from, sequence, peer, now)
+                self.start_indirect_probe(from, sequence, peer, now)
             }
-            SwimMessage::Sync { asks, updates } => {
+            SwimMessage::Sync { wants_reply, updates } => {
                 self.merge_all(updates, now);
-                if asks {
-                    self.sync_answers(from, random)
+                if wants_reply {
+                    self.sync_replies(from, random)
                 } else {
                     Vec::new()
                 }
             }
             SwimMessage::Known { id, views, .. } => {
-                self.hear_known(&id, &views);
+                self.record_views(&id, &views);
                 Vec::new()
             }
         }
@@ -273,12 +273,12 @@
     pub fn farewell(&mut self, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut addresses: Vec<SocketAddr> = self.addresses(Liveness::Alive);
         addresses.shuffle(random);
-        addresses.truncate(MOST_UPDATES);
-        let updates = vec![self.my_update()];
+        addresses.truncate(MAX_UPDATES_PER_MESSAGE);
+        let updates = vec![self.own_update()];
         let message = |address| {
             let updates = updates.clone();
-            let asks = false;
-            (address, SwimMessage::Sync { asks, updates })
+            let wants_reply = false;
+            (address, SwimMessage::Sync { wants_reply, updates })
         };
         addresses.into_iter().map(message).collect()
     }
@@ -291,7 +291,7 @@
             .collect()
     }
 
-    fn my_update(&self) -> Update {
+    fn own_update(&self) -> Update {
         Update {
             record: self.me.clone(),
             liveness: Liveness::Alive,
@@ -299,34 +299,34 @@
     }
 
     fn set_liveness(&mut self, id: &BoxId, liveness: Liveness, now: Millis) {
-        let spread_left = self.spread_times();
+        let transmissions_left = self.max_transmissions();
         let Some(member) = self.members.get_mut(id) else {
             return;
         };
         member.liveness = liveness;
         member.changed_at = now;
-        member.spread_left = spread_left;
+        member.transmissions_left = transmissions_left;
         self.generation += 1;
     }
 
-    fn bury(&mut self, now: Millis) {
+    fn expire_members(&mut self, now: Millis) {
         let suspicion = self.settings.suspicion_ms;
-        let silent: Vec<BoxId> = self
+        let expired: Vec<BoxId> = self
             .members
             .iter()
             .filter(|(_, member)| member.liveness == Liveness::Suspect)
             .filter(|(_, member)| now.saturating_sub(member.changed_at) >= suspicion)
             .map(|(id, _)| id.clone())
             .collect();
-        for id in silent {
+        for id in expired {
             self.set_liveness(&id, Liveness::Dead, now);
         }
         self.members.retain(|_, member| {
             member.liveness != Liveness::Dead
-                || now.saturating_sub(member.changed_at) < KEEP_DEAD_MS
+                || now.saturating_sub(member.changed_at) < DEAD_RETENTION_MS
         });
-        self.errands
-            .retain(|_, errand| now.saturating_sub(errand.taken_at) < suspicion);
+        self.indirect_probes
+            .retain(|_, indirect_probe| now.saturating_sub(indirect_probe.started_at) < suspicion);
     }
 
     fn new_sequence(&mut self) -> u32 {
--- a/crates/routing/src/swim/probing.rs
+++ b/crates/routing/src/swim/probing.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 
 /// Members that are asked to probe one that doesn't respond.
-const HELPERS: usize = 2;
+const INDIRECT_PROBES: usize = 2;
 
 /// A probe without an acknowledgement yet.
 #[derive(Clone, Debug)]
@@ -16,15 +16,15 @@
     pub(super) id: BoxId,
     pub(super) sequence: u32,
     pub(super) sent_at: Millis,
-    pub(super) asked_helpers: bool,
+    pub(super) is_indirect: bool,
 }
 
 /// A probe made on behalf of another box.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Errand {
-    pub(super) asker: SocketAddr,
-    pub(super) asker_sequence: u32,
-    pub(super) taken_at: Millis,
+pub(super) struct IndirectProbe {
+    pub(super) requester: SocketAddr,
+    pub(super) requester_sequence: u32,
+    pub(super) started_at: Millis,
 }
 
 impl Swim {
@@ -48,14 +48,14 @@
             }
             return;
         }
-        if age >= self.settings.ack_timeout_ms && !probe.asked_helpers {
-            probe.asked_helpers = true;
-            self.ask_helpers(&probe, random, out);
+        if age >= self.settings.ack_timeout_ms && !probe.is_indirect {
+            probe.is_indirect = true;
+            self.request_indirect_probes(&probe, random, out);
         }
         self.probe = Some(probe);
     }
 
-    pub(super) fn ask_helpers(
+    pub(super) fn request_indirect_probes(
         &mut self,
         probe: &Probe,
         random: &mut impl Rng,
@@ -68,8 +68,8 @@
         let mut helpers = self.addresses(Liveness::Alive);
         helpers.retain(|address| *address != peer);
         helpers.shuffle(random);
-        for helper in helpers.into_iter().take(HELPERS) {
-            let updates = self.news();
+        for helper in helpers.into_iter().take(INDIRECT_PROBES) {
+            let updates = self.updates_to_send();
             let sequence = probe.sequence;
             let message = SwimMessage::PingRequest {
                 sequence,
@@ -89,7 +89,7 @@
         if self.probe.is_some() {
             return;
         }
-        let Some(id) = self.next_in_round(random) else {
+        let Some(id) = self.next_to_probe(random) else {
             return;
         };
         let Some(member) = self.members.get(&id).cloned() else {
@@ -99,53 +99,53 @@
         let sequence = self.new_sequence();
         let updates = match member.liveness {
             // A dead or suspect member has to learn of its status to refute it.
-            Liveness::Alive => self.news(),
-            _ => vec![self.my_update(), member.update()],
+            Liveness::Alive => self.updates_to_send(),
+            _ => vec![self.own_update(), member.update()],
         };
         out.push((address, SwimMessage::Ping { sequence, updates }));
         self.probe = Some(Probe {
             id,
             sequence,
             sent_at: now,
-            asked_helpers: false,
+            is_indirect: false,
         });
     }
 
-    pub(super) fn next_in_round(&mut self, random: &mut impl Rng) -> Option<BoxId> {
-        if self.round.is_empty() {
-            self.round = self.members.keys().cloned().collect();
-            self.round.shuffle(random);
+    pub(super) fn next_to_probe(&mut self, random: &mut impl Rng) -> Option<BoxId> {
+        if self.probe_order.is_empty() {
+            self.probe_order = self.members.keys().cloned().collect();
+            self.probe_order.shuffle(random);
         }
-        self.round.pop()
+        self.probe_order.pop()
     }
 
-    pub(super) fn acknowledged(&mut self, sequence: u32) -> Vec<Outgoing> {
+    pub(super) fn handle_ack(&mut self, sequence: u32) -> Vec<Outgoing> {
         if self.probe.as_ref().is_some_and(|p| p.sequence == sequence) {
             self.probe = None;
         }
-        let Some(errand) = self.errands.remove(&sequence) else {
+        let Some(indirect_probe) = self.indirect_probes.remove(&sequence) else {
             return Vec::new();
         };
-        let updates = self.news();
-        let sequence = errand.asker_sequence;
-        vec![(errand.asker, SwimMessage::Ack { sequence, updates })]
+        let updates = self.updates_to_send();
+        let sequence = indirect_probe.requester_sequence;
+        vec![(indirect_probe.requester, SwimMessage::Ack { sequence, updates })]
     }
 
-    pub(super) fn run_errand(
+    pub(super) fn start_indirect_probe(
         &mut self,
-        asker: SocketAddr,
-        asker_sequence: u32,
+        requester: SocketAddr,
+        requester_sequence: u32,
         peer: SocketAddr,
         now: Millis,
     ) -> Vec<Outgoing> {
         let sequence = self.new_sequence();
-        let errand = Errand {
-            asker,
-            asker_sequence,
-            taken_at: now,
+        let indirect_probe = IndirectProbe {
+            requester,
+            requester_sequence,
+            started_at: now,
         };
-        self.errands.insert(sequence, errand);
-        let updates = self.news();
+        self.indirect_probes.insert(sequence, indirect_probe);
+        let updates = self.updates_to_send();
         vec![(peer, SwimMessage::Ping { sequence, updates })]
     }
 }
--- a/crates/routing/src/swim/spreading.rs
+++ b/crates/routing/src/swim/spreading.rs
@@ -9,44 +9,44 @@
 use std::net::SocketAddr;
 
 /// Boxes found elsewhere that are sent a sync request at a time.
-const MOST_STRANGERS: usize = 4;
+const MAX_CONTACTS_PER_SYNC: usize = 4;
 
 /// Most updates in one message, so that it fits in a datagram.
-pub(super) const MOST_UPDATES: usize = 7;
+pub(super) const MAX_UPDATES_PER_MESSAGE: usize = 7;
 
 /// Most members sent in reply to one sync request.
-const MOST_SYNCED: usize = 140;
+const MAX_SYNCED_MEMBERS: usize = 140;
 
 /// Transmissions of an update per doubling of the fleet size.
-const SPREAD_PER_DOUBLING: u32 = 2;
+const TRANSMISSIONS_PER_DOUBLING: u32 = 2;
 
 /// Interval between syncs with a random member.
-const SYNC_MS: Millis = 5_000;
+const SYNC_INTERVAL_MS: Millis = 5_000;
 
 impl Swim {
     /// Returns this box's own record and the updates with the most transmissions left.
-    pub(super) fn news(&mut self) -> Vec<Update> {
+    pub(super) fn updates_to_send(&mut self) -> Vec<Update> {
         let mut fresh: Vec<(u32, BoxId)> = self
             .members
             .iter()
-            .filter(|(_, member)| member.spread_left > 0)
-            .map(|(id, member)| (member.spread_left, id.clone()))
+            .filter(|(_, member)| member.transmissions_left > 0)
+            .map(|(id, member)| (member.transmissions_left, id.clone()))
             .collect();
         fresh.sort_by_key(|(left, _)| std::cmp::Reverse(*left));
-        fresh.truncate(MOST_UPDATES - 1);
-        let mut updates = vec![self.my_update()];
+        fresh.truncate(MAX_UPDATES_PER_MESSAGE - 1);
+        let mut updates = vec![self.own_update()];
         for (_, id) in fresh {
             if let Some(member) = self.members.get_mut(&id) {
-                member.spread_left -= 1;
+                member.transmissions_left -= 1;
                 updates.push(member.update());
             }
         }
         updates
     }
 
-    pub(super) fn spread_times(&self) -> u32 {
+    pub(super) fn max_transmissions(&self) -> u32 {
         let doublings = usize::BITS - (self.members.len() + 1).leading_zeros();
-        doublings * SPREAD_PER_DOUBLING
+        doublings * TRANSMISSIONS_PER_DOUBLING
     }
 
     pub(super) fn merge_all(&mut self, updates: Vec<Update>, now: Millis) {
@@ -57,67 +57,67 @@
 
     pub(super) fn merge(&mut self, update: Update, now: Millis) {
         if update.record.id == self.me.id {
-            self.deny(&update);
+            self.refute(&update);
             return;
         }
-        self.hear_revisions(&update);
+        self.record_revisions(&update);
         // Updates about a box that is starting aren't spread until it serves.
-        let spread_left = match update.record.state {
+        let transmissions_left = match update.record.state {
             MemberState::Starting => 0,
-            MemberState::Serving | MemberState::Leaving => self.spread_times(),
+            MemberState::Serving | MemberState::Leaving => self.max_transmissions(),
         };
-        let news = Member {
+        let incoming = Member {
             record: update.record,
             liveness: update.liveness,
             changed_at: now,
-            spread_left,
+            transmissions_left,
         };
-        let Some(held) = self.members.get_mut(&news.record.id) else {
-            if news.liveness != Liveness::Dead {
+        let Some(held) = self.members.get_mut(&incoming.record.id) else {
+            if incoming.liveness != Liveness::Dead {
                 self.generation += 1;
-                self.members.insert(news.record.id.clone(), news);
+                self.members.insert(incoming.record.id.clone(), incoming);
             }
             return;
         };
         let order = |member: &Member| (member.record.incarnation, member.liveness);
-        if order(&news) <= order(held) {
+        if order(&incoming) <= order(held) {
             return;
         }
-        let is_word_of_its_own = held.liveness == news.liveness
-            && held.record.state == news.record.state
-            && held.record.reaches_store == news.record.reaches_store
-            && held.record.fleet_size == news.record.fleet_size;
-        if is_word_of_its_own {
+        let needs_no_spreading = held.liveness == incoming.liveness
+            && held.record.state == incoming.record.state
+            && held.record.reaches_store == incoming.record.reaches_store
+            && held.record.fleet_size == incoming.record.fleet_size;
+        if needs_no_spreading {
             // A changed load or revision isn't spread: its box sends it with each probe.
-            held.record = news.record;
+            held.record = incoming.record;
             return;
         }
-        *held = news;
+        *held = incoming;
         self.generation += 1;
     }
 
     /// Records how much a member knows. Reports from boxes that are no members are ignored.
-    pub(super) fn hear_known(&mut self, id: &BoxId, views: &[KnownView]) {
+    pub(super) fn record_views(&mut self, id: &BoxId, views: &[KnownView]) {
         let Some(member) = self.members.get_mut(id) else {
             return;
         };
         for view in views {
             member.record.raise_revision(view.scope, view.revision);
-            let heard = self.heard.entry(view.scope).or_default();
-            *heard = (*heard).max(view.revision);
+            let newest = self.reported_revisions.entry(view.scope).or_default();
+            *newest = (*newest).max(view.revision);
         }
     }
 
-    fn hear_revisions(&mut self, update: &Update) {
+    fn record_revisions(&mut self, update: &Update) {
         for scope in [Scope::Operator, Scope::Upstreams] {
-            let heard = self.heard.entry(scope).or_default();
-            *heard = (*heard).max(update.record.revision(scope));
+            let newest = self.reported_revisions.entry(scope).or_default();
+            *newest = (*newest).max(update.record.revision(scope));
         }
     }
 
     /// Refutes an update about this box that isn't its own latest record, by raising the
     /// incarnation above it.
-    pub(super) fn deny(&mut self, update: &Update) {
+    pub(super) fn refute(&mut self, update: &Update) {
         let is_older = update.record.incarnation < self.me.incarnation;
         let is_mine = update.record == self.me && update.liveness == Liveness::Alive;
         if !is_older && !is_mine {
@@ -136,7 +136,7 @@
         let wait = if is_alone {
             self.settings.period_ms
         } else {
-            SYNC_MS
+            SYNC_INTERVAL_MS
         };
         self.next_sync_at = now + wait;
         let mut receivers: Vec<SocketAddr> = if is_alone {
@@ -145,26 +145,26 @@
             vec![alive[random.random_range(0..alive.len())]]
         };
         // One of these boxes that replies knows the other members of its group.
-        let mut strangers = std::mem::take(&mut self.strangers);
-        strangers.shuffle(random);
-        receivers.extend(strangers.into_iter().take(MOST_STRANGERS));
+        let mut contacts = std::mem::take(&mut self.contacts);
+        contacts.shuffle(random);
+        receivers.extend(contacts.into_iter().take(MAX_CONTACTS_PER_SYNC));
         for receiver in receivers {
-            let updates = vec![self.my_update()];
-            let asks = true;
-            out.push((receiver, SwimMessage::Sync { asks, updates }));
+            let updates = vec![self.own_update()];
+            let wants_reply = true;
+            out.push((receiver, SwimMessage::Sync { wants_reply, updates }));
         }
     }
 
-    pub(super) fn sync_answers(&mut self, to: SocketAddr, random: &mut impl Rng) -> Vec<Outgoing> {
+    pub(super) fn sync_replies(&mut self, to: SocketAddr, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut updates: Vec<Update> = self.members.values().map(Member::update).collect();
         updates.shuffle(random);
-        updates.truncate(MOST_SYNCED);
-        updates.push(self.my_update());
+        updates.truncate(MAX_SYNCED_MEMBERS);
+        updates.push(self.own_update());
         let message = |updates: &[Update]| {
             let updates = updates.to_vec();
-            let asks = false;
-            (to, SwimMessage::Sync { asks, updates })
+            let wants_reply = false;
+            (to, SwimMessage::Sync { wants_reply, updates })
         };
-        updates.chunks(MOST_UPDATES).map(message).collect()
+        updates.chunks(MAX_UPDATES_PER_MESSAGE).map(message).collect()
     }
 }
--- a/crates/routing/src/watchers.rs
+++ b/crates/routing/src/watchers.rs
@@ -18,7 +18,7 @@
 
 /// Boxes that follow the store, fleet-wide. If one is lost, the other's watch goes on. With one
 /// follower per zone, every change was fetched nine times.
-const FOLLOWERS: usize = 2;
+const FOLLOWER_COUNT: usize = 2;
 
 /// A box's part in distributing the store's changes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -71,7 +71,7 @@
         let mut others = Vec::new();
         for (place, Ranked { record, .. }) in ranked.into_iter().enumerate() {
             let is_first_of_zone = zones.insert(record.zone.as_str());
-            if place >= FOLLOWERS && !is_first_of_zone {
+            if place >= FOLLOWER_COUNT && !is_first_of_zone {
                 continue;
             }
             if record.id != me.id {
@@ -80,7 +80,7 @@
             }
             duty = match place {
                 0 => StoreDuty::Confirms,
-                place if place < FOLLOWERS => StoreDuty::Follows,
+                place if place < FOLLOWER_COUNT => StoreDuty::Follows,
                 _ => StoreDuty::PassesOn,
             };
         }
--- a/crates/routing/src/workspace.rs
+++ b/crates/routing/src/workspace.rs
@@ -26,7 +26,7 @@
     }
 
     /// Folds the digest into 64 bits, for the fingerprint of a configuration.
-    pub(crate) fn folded(self) -> u64 {
+    pub(crate) fn fold_to_u64(self) -> u64 {
         (self.0 >> 64) as u64 ^ self.0 as u64
     }
 }
