--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Small fleets for tests of decisions.
+//! Small fleets for the tests of this crate.
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 
 pub mod recorded_store;
@@ -17,7 +17,7 @@
     Service::new("quotes")
 }
 
-/// Three regions of two zones each.
+/// Returns three regions of two zones each.
 pub fn zones() -> BTreeMap<Zone, Region> {
     ["west", "north", "south"]
         .iter()
@@ -83,7 +83,7 @@
     }
 }
 
-/// `per_zone` upstreams in each zone, with ids by zone and number.
+/// Creates `per_zone` upstreams in each zone; their ids consist of zone and number.
 pub fn fleet(per_zone: usize) -> FleetState {
     let mut fleet = FleetState::default();
     let mut port = 1_000;
@@ -98,7 +98,7 @@
     fleet
 }
 
-/// All upstreams' entries are those that the store had at `as_of`.
+/// Marks the view of the upstreams as complete as of `as_of`.
 pub fn whole_as_of(fleet: &mut FleetState, as_of: u64) {
     let at = Revision::default();
     let claim = Claim {
--- a/crates/routing/tests/common/recorded_store.rs
+++ b/crates/routing/tests/common/recorded_store.rs
@@ -1,11 +1,11 @@
-//! A store that remembers all its changes, to compare boxes with.
+//! A model of the store that keeps all its changes, to compare boxes with.
 
 use super::{revised, upstream};
 use brasswinch_routing::{Change, ChangeKey, FleetState, Revised, Revision, Scope, Snapshot};
 use brasswinch_types::UpstreamId;
 use std::collections::BTreeMap;
 
-/// All changes of upstreams, the first of revision 1, and when each was made.
+/// All changes of upstreams, beginning with revision 1, and the time of each.
 #[derive(Default)]
 pub struct RecordedStore {
     history: Vec<(u64, Revised)>,
@@ -16,7 +16,7 @@
         Revision(self.history.len() as u64)
     }
 
-    /// The revision at a time.
+    /// Returns the revision at a time.
     pub fn at_time(&self, time: u64) -> Revision {
         let earlier = self.history.iter().filter(|(made, _)| *made <= time);
         Revision(earlier.count() as u64)
@@ -36,7 +36,7 @@
         self.write(time, Change::Gone(ChangeKey::Upstream(id)));
     }
 
-    /// The entries as they stood at a revision.
+    /// Returns the entries at a revision.
     fn entries(&self, at: Revision) -> BTreeMap<ChangeKey, Revised> {
         let mut entries = BTreeMap::new();
         let known = self.history.iter().map(|(_, revised)| revised);
@@ -51,7 +51,7 @@
         entries
     }
 
-    /// Whose entries stood at a revision.
+    /// Returns the keys of the entries at a revision.
     pub fn names(&self, at: Revision) -> Vec<ChangeKey> {
         self.entries(at).into_keys().collect()
     }
@@ -70,7 +70,7 @@
     }
 }
 
-/// Whose entries a box holds.
+/// Returns the keys of the entries that a box holds.
 pub fn names(fleet: &FleetState) -> Vec<ChangeKey> {
     let ids = fleet.upstreams().map(|(record, _)| record.id.clone());
     ids.map(ChangeKey::Upstream).collect()
--- a/crates/routing/tests/config_patch.rs
+++ b/crates/routing/tests/config_patch.rs
@@ -1,4 +1,4 @@
-//! Boxes tell each other what changed in the configuration, not all of it.
+//! Tests that boxes send each other configuration patches instead of whole configurations.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -12,10 +12,10 @@
 use proptest::prelude::*;
 use std::sync::Arc;
 
-/// A configuration of some of 24 routes, each as one of three variants, and some services.
-fn drawn(version: u64, variants: &[u8], services: u8) -> SteeringConfig {
-    let mut drawn = config(version);
-    drawn.routes.clear();
+/// Creates a configuration with a route for each variant other than 0, and some services.
+fn generated(version: u64, variants: &[u8], services: u8) -> SteeringConfig {
+    let mut generated = config(version);
+    generated.routes.clear();
     for (number, variant) in variants.iter().enumerate() {
         if *variant == 0 {
             continue;
@@ -25,19 +25,19 @@
         if *variant == 2 {
             one.allowed_regions.insert(Region::new("west"));
         }
-        drawn.routes.push(one);
+        generated.routes.push(one);
     }
-    let mut kept = drawn.services.values().next().unwrap().clone();
+    let mut kept = generated.services.values().next().unwrap().clone();
     kept.cold_period_s = f64::from(variants[0]);
-    drawn.limits.max_body_bytes = version;
+    generated.limits.max_body_bytes = version;
     for number in 0..services {
         let name = Service::new(format!("service-{number}"));
-        drawn.services.insert(name, kept.clone());
+        generated.services.insert(name, kept.clone());
     }
-    drawn
+    generated
 }
 
-/// The order of routes says nothing.
+/// Sorts the routes; their order has no meaning.
 fn sorted(config: &SteeringConfig) -> SteeringConfig {
     let mut sorted = config.clone();
     let by_place = |route: &brasswinch_routing::Route| {
@@ -56,11 +56,11 @@
     }
 }
 
-/// What `peer` is told by `knows`.
-fn told(knows: &FleetState, peer: &FleetState) -> CatchUp {
+/// Returns the data that `peer` lacks, as `source` sends it.
+fn missing_at(source: &FleetState, peer: &FleetState) -> CatchUp {
     let holds = peer.config_mark();
     let after = peer.newest(Scope::Operator);
-    knows.missing(Scope::Operator, after, holds).unwrap()
+    source.missing(Scope::Operator, after, holds).unwrap()
 }
 
 fn write(fleet: &mut FleetState, revision: u64, config: SteeringConfig) {
@@ -68,9 +68,9 @@
     fleet.apply_changes(Scope::Operator, vec![change], 1);
 }
 
-/// Whether the configuration itself is among the changes.
-fn is_whole(news: &CatchUp) -> bool {
-    let entries = match news {
+/// Returns whether the data contains a whole configuration.
+fn is_whole(received: &CatchUp) -> bool {
+    let entries = match received {
         CatchUp::Whole(snapshot) => &snapshot.entries,
         CatchUp::Changes { changes, .. } => changes,
     };
@@ -80,36 +80,36 @@
 
 proptest! {
     #[test]
-    fn a_patch_makes_one_version_of_another(
+    fn a_patch_turns_one_version_into_another(
         held in proptest::collection::vec(0_u8..3, 24),
         wanted in proptest::collection::vec(0_u8..3, 24),
         services in (0_u8..4, 0_u8..4),
     ) {
-        let (held, wanted) = (drawn(3, &held, services.0), drawn(9, &wanted, services.1));
+        let (held, wanted) = (generated(3, &held, services.0), generated(9, &wanted, services.1));
         let made = ConfigPatch::between(&held, &wanted).apply(&held);
         prop_assert_eq!(sorted(&made), sorted(&wanted));
     }
 
-    /// One box follows the store, others hear from it and from each other now and then.
+    /// One box follows the store; the others catch up with it and with each other now and then.
     #[test]
-    fn boxes_that_hear_of_steps_agree_with_the_store(
+    fn boxes_that_receive_patches_agree_with_the_store(
         steps in proptest::collection::vec((0_usize..24, 0_u8..3, 0_usize..6), 1..80),
     ) {
         let mut variants = vec![1; 24];
         let mut boxes: Vec<FleetState> = (0..3).map(|_| FleetState::default()).collect();
-        boxes[0].apply_snapshot(listing(1, drawn(1, &variants, 1)), 1);
+        boxes[0].apply_snapshot(listing(1, generated(1, &variants, 1)), 1);
         for (number, (place, variant, talk)) in steps.into_iter().enumerate() {
             let step = number as u64 + 2;
             variants[place] = variant;
-            write(&mut boxes[0], step, drawn(step * 3, &variants, 1));
+            write(&mut boxes[0], step, generated(step * 3, &variants, 1));
             let (from, to) = [(0, 1), (0, 2), (1, 2), (2, 1), (0, 0), (1, 0)][talk];
-            if let Some(news) = boxes[from].newest(Scope::Operator).map(|_| told(&boxes[from], &boxes[to])) {
-                boxes[to].catch_up(news, step).unwrap();
+            if let Some(received) = boxes[from].newest(Scope::Operator).map(|_| missing_at(&boxes[from], &boxes[to])) {
+                boxes[to].catch_up(received, step).unwrap();
             }
         }
         for to in [1, 2] {
-            let news = told(&boxes[0], &boxes[to]);
-            boxes[to].catch_up(news, 1_000).unwrap();
+            let received = missing_at(&boxes[0], &boxes[to]);
+            boxes[to].catch_up(received, 1_000).unwrap();
             let (held, wanted) = (boxes[to].config().unwrap(), boxes[0].config().unwrap());
             prop_assert_eq!(sorted(held), sorted(wanted));
             prop_assert_eq!(boxes[to].newest(Scope::Operator), boxes[0].newest(Scope::Operator));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_change_of_one_route_among_thousands_is_told_alone() {
+fn a_change_of_one_route_among_thousands_is_sent_alone() {
     let mut many = config(1);
     for number in 0..3_000 {
         many.routes.push(route(
@@ -127,112 +127,111 @@
             &format!("/p{number}/"),
         ));
     }
-    let mut knows = FleetState::default();
+    let mut source = FleetState::default();
     let mut peer = FleetState::default();
-    knows.apply_snapshot(listing(1, many.clone()), 1);
-    peer.catch_up(told(&knows, &peer), 1).unwrap();
+    source.apply_snapshot(listing(1, many.clone()), 1);
+    peer.catch_up(missing_at(&source, &peer), 1).unwrap();
     many.version = ConfigVersion(2);
     many.routes[1_500].timeout_s = Some(0.25);
-    write(&mut knows, 2, many.clone());
-    let news = told(&knows, &peer);
-    let CatchUp::Changes { changes, .. } = &news else {
-        panic!("{news:?}");
+    write(&mut source, 2, many.clone());
+    let received = missing_at(&source, &peer);
+    let CatchUp::Changes { changes, .. } = &received else {
+        panic!("{received:?}");
     };
     let Change::ConfigPatched(patches) = &changes[0].change else {
         panic!("{changes:?}");
     };
     assert_eq!(patches[0].changed_routes, [many.routes[1_500].clone()]);
-    assert!(peer.catch_up(news, 2).unwrap());
+    assert!(peer.catch_up(received, 2).unwrap());
     assert_eq!(**peer.config().unwrap(), many);
 }
 
 #[test]
-fn who_holds_nothing_or_a_version_that_is_no_longer_known_gets_all() {
+fn a_peer_without_a_known_version_gets_the_whole_configuration() {
     let version = |step: u64| {
-        let mut newer = drawn(step, &[1; 24], 20);
+        let mut newer = generated(step, &[1; 24], 20);
         newer.routes[0].timeout_s = Some(step as f64);
         newer
     };
-    let mut knows = FleetState::default();
-    knows.apply_snapshot(listing(1, version(1)), 1);
+    let mut source = FleetState::default();
+    source.apply_snapshot(listing(1, version(1)), 1);
     for step in 2..100 {
-        write(&mut knows, step, version(step));
+        write(&mut source, step, version(step));
     }
     let missing = |holds: Option<u64>| {
         let holds = holds.map(|step| ConfigMark::of(&version(step)));
-        knows
+        source
             .missing(Scope::Operator, Some(Revision(1)), holds)
             .unwrap()
     };
     assert!(is_whole(&missing(None)));
     assert!(is_whole(&missing(Some(1))));
     assert!(!is_whole(&missing(Some(98))));
-    // A box that started again asks from a revision before what is kept here, and may
-    // hold the newest version all the same.
-    let restarted = knows
+    // A restarted box has no revision to catch up from, but may still hold the newest version.
+    let restarted = source
         .missing(Scope::Operator, None, Some(ConfigMark::of(&version(99))))
         .unwrap();
     assert!(!is_whole(&restarted));
 }
 
 #[test]
-fn steps_from_a_version_that_is_not_held_change_nothing() {
-    let mut knows = FleetState::default();
-    knows.apply_snapshot(listing(1, config(1)), 1);
-    write(&mut knows, 2, config(4));
-    let steps = knows.missing(
+fn patches_for_a_version_that_is_not_held_change_nothing() {
+    let mut source = FleetState::default();
+    source.apply_snapshot(listing(1, config(1)), 1);
+    write(&mut source, 2, config(4));
+    let patches = source.missing(
         Scope::Operator,
         Some(Revision(1)),
         Some(ConfigMark::of(&config(1))),
     );
-    let steps = steps.unwrap();
+    let patches = patches.unwrap();
     let mut peer = FleetState::default();
-    let fresh = peer.catch_up(steps.clone(), 1).unwrap_err();
+    let fresh = peer.catch_up(patches.clone(), 1).unwrap_err();
     assert_eq!((fresh.base.version, fresh.held), (ConfigVersion(1), None));
     peer.apply_snapshot(listing(1, config(3)), 1);
-    let other = peer.catch_up(steps.clone(), 1).unwrap_err();
+    let other = peer.catch_up(patches.clone(), 1).unwrap_err();
     assert_eq!(other.held, Some(ConfigMark::of(&config(3))));
     assert_eq!(peer.newest(Scope::Operator), Some(Revision(1)));
-    // One that got there by another way takes them for what it knows already.
+    // A box that already holds the resulting version treats the patches as known.
     peer.apply_snapshot(listing(2, config(4)), 1);
-    assert!(!peer.catch_up(steps, 1).unwrap());
+    assert!(!peer.catch_up(patches, 1).unwrap());
     assert_eq!(peer.config().unwrap().version, ConfigVersion(4));
 }
 
-/// Boxes may hold the same version and not the same configuration: it was written twice, or
-/// they read it differently. Steps would keep the difference for ever.
+/// Boxes may hold different configurations of the same version, if it was written twice or they
+/// read it differently. Patches chosen by version alone would preserve the difference.
 #[test]
-fn steps_are_for_what_is_held_and_not_for_its_version_alone() {
-    let mut knows = FleetState::default();
+fn patches_apply_to_the_content_held_and_not_to_its_version_alone() {
+    let mut source = FleetState::default();
     let mut peer = FleetState::default();
-    peer.apply_snapshot(listing(1, drawn(2, &[1; 5], 1)), 1);
-    knows.apply_snapshot(listing(2, drawn(2, &[2; 6], 1)), 1);
-    let newest = drawn(3, &[2, 2, 2, 2, 2, 0, 1], 1);
-    write(&mut knows, 3, newest.clone());
-    let by_version = knows.missing(
+    peer.apply_snapshot(listing(1, generated(2, &[1; 5], 1)), 1);
+    source.apply_snapshot(listing(2, generated(2, &[2; 6], 1)), 1);
+    let newest = generated(3, &[2, 2, 2, 2, 2, 0, 1], 1);
+    write(&mut source, 3, newest.clone());
+    let by_version = source.missing(
         Scope::Operator,
         Some(Revision(2)),
-        Some(ConfigMark::of(&drawn(2, &[2; 6], 1))),
+        Some(ConfigMark::of(&generated(2, &[2; 6], 1))),
     );
     assert!(peer.catch_up(by_version.unwrap(), 1).is_err());
-    let news = told(&knows, &peer);
-    assert!(is_whole(&news));
-    assert!(peer.catch_up(news, 1).unwrap());
+    let received = missing_at(&source, &peer);
+    assert!(is_whole(&received));
+    assert!(peer.catch_up(received, 1).unwrap());
     assert_eq!(sorted(peer.config().unwrap()), sorted(&newest));
 }
 
 #[test]
-fn steps_that_are_more_than_the_whole_are_not_kept() {
-    let mut knows = FleetState::default();
-    let version = |step: u64| drawn(step, &[1 + (step % 2) as u8; 24], 1);
-    knows.apply_snapshot(listing(1, version(1)), 1);
-    write(&mut knows, 2, version(2));
-    write(&mut knows, 3, version(3));
+fn patches_larger_than_the_whole_configuration_are_not_kept() {
+    let mut source = FleetState::default();
+    let version = |step: u64| generated(step, &[1 + (step % 2) as u8; 24], 1);
+    source.apply_snapshot(listing(1, version(1)), 1);
+    write(&mut source, 2, version(2));
+    write(&mut source, 3, version(3));
     let missing = |held: u64| {
         let holds = Some(ConfigMark::of(&version(held)));
-        let missing = knows.missing(Scope::Operator, Some(Revision(1)), holds);
+        let missing = source.missing(Scope::Operator, Some(Revision(1)), holds);
         missing.unwrap()
     };
     assert!(!is_whole(&missing(2)));
-    assert!(is_whole(&missing(1)), "two steps name each route twice");
+    assert!(is_whole(&missing(1)), "two patches name each route twice");
 }
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -1,10 +1,10 @@
-//! How many boxes a box takes the fleet to have.
+//! Tests of the fleet size as one box knows it.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{FleetSize, KnownSize, REMEMBERED_MS};
 
 #[test]
-fn a_box_that_nobody_told_takes_its_side_of_a_cut_for_all() {
+fn a_reported_size_stays_known_after_its_reporter_is_gone() {
     let mut size = FleetSize::default();
     size.hear(12, 0, 1_000);
     assert_eq!(size.known(1_000), KnownSize::Awaited);
@@ -14,12 +14,12 @@
     assert_eq!(
         size.known(1_200),
         KnownSize::Told(75),
-        "whoever told it is gone"
+        "the box that reported it is gone"
     );
 }
 
 #[test]
-fn a_box_that_is_never_told_goes_by_what_it_hears() {
+fn a_box_without_a_reported_size_uses_the_number_of_live_boxes() {
     let mut size = FleetSize::default();
     size.hear(12, 0, 1_000);
     assert_eq!(size.known(10_000), KnownSize::Awaited);
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn boxes_tell_each_other_a_size_that_none_of_them_heard() {
+fn a_box_reports_no_size_that_only_other_boxes_reported() {
     let mut size = FleetSize::default();
     size.hear(12, 75, 1_000);
-    assert_eq!(size.to_tell(), 0, "the store was not asked");
+    assert_eq!(size.to_tell(), 0, "the store was not read");
     size.recorded(0);
     assert_eq!(size.to_tell(), 12);
     size.recorded(60);
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn the_store_keeps_the_size_of_a_fleet_that_grew_or_of_one_side_of_a_cut() {
+fn the_stored_size_grows_with_the_fleet_and_ignores_a_partition() {
     let mut size = FleetSize::default();
     size.hear(40, 0, 0);
-    assert_eq!(size.to_record(), None, "what the store holds isn't known");
+    assert_eq!(size.to_record(), None, "the stored size isn't known");
     size.recorded(0);
     assert_eq!(size.to_record(), Some(40));
     size.recorded(75);
@@ -52,13 +52,13 @@
 }
 
 #[test]
-fn a_fleet_that_shrank_is_never_taken_for_smaller() {
+fn a_smaller_fleet_is_recorded_only_after_a_whole_period() {
     let mut size = FleetSize::default();
     size.recorded(75);
     size.hear(75, 0, 0);
     size.hear(30, 0, REMEMBERED_MS);
     assert_eq!(size.boxes(), 75);
-    assert_eq!(size.to_record(), None, "half of them may be out of reach");
+    assert_eq!(size.to_record(), None, "the others may be out of reach");
     size.hear(30, 0, 2 * REMEMBERED_MS);
     assert_eq!(size.to_record(), Some(30));
     size.recorded(30);
--- a/crates/routing/tests/fleet_state.rs
+++ b/crates/routing/tests/fleet_state.rs
@@ -1,4 +1,4 @@
-//! Changes merge in any order and from any side.
+//! Tests that changes can be merged in any order and from any source.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -12,7 +12,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The store's own account of what happened, to compare with.
+/// A model of the store, to compare the boxes with.
 #[derive(Default)]
 struct Store {
     revision: u64,
@@ -64,8 +64,8 @@
 }
 
 proptest! {
-    /// One box lists and watches, another hears from it now and then: both end up with
-    /// what the store has, whatever came twice or late.
+    /// One box lists and watches the store, another catches up with it now and then. Both end
+    /// up with the store's entries, even if changes arrive late or more than once.
     #[test]
     fn a_watcher_and_one_that_hears_from_it_agree_with_the_store(
         steps in proptest::collection::vec((0_u8..6, 0_u8..4, 0_u8..8), 1..120),
@@ -81,7 +81,7 @@
             match sync {
                 0 => { watcher.apply_snapshot(store.listing(), now); }
                 1 => {
-                    // A watch that brings old changes again.
+                    // A watch that delivers old changes again.
                     let again = store.history.iter().rev().take(5).rev().cloned().collect();
                     watcher.apply_changes(Scope::Upstreams, again, now);
                 }
@@ -89,13 +89,13 @@
             }
             if sync >= 6 {
                 let after = listener.newest(Scope::Upstreams);
-                let news = watcher.missing(Scope::Upstreams, after, None).unwrap();
-                listener.catch_up(news, now).unwrap();
+                let received = watcher.missing(Scope::Upstreams, after, None).unwrap();
+                listener.catch_up(received, now).unwrap();
             }
         }
         let after = listener.newest(Scope::Upstreams);
-        let news = watcher.missing(Scope::Upstreams, after, None).unwrap();
-        listener.catch_up(news, 1_000).unwrap();
+        let received = watcher.missing(Scope::Upstreams, after, None).unwrap();
+        listener.catch_up(received, 1_000).unwrap();
         let in_store: BTreeMap<String, UpstreamState> =
             store.upstreams.iter().map(|(name, (_, state))| (name.clone(), *state)).collect();
         prop_assert_eq!(known(&watcher), in_store.clone());
@@ -114,7 +114,7 @@
     );
     assert_eq!(fleet.config().unwrap().version.0, 12);
     let gone = revised(10, Change::Gone(ChangeKey::Config));
-    assert!(!fleet.apply(gone, 3), "taken away");
+    assert!(!fleet.apply(gone, 3), "removed");
     assert_eq!(fleet.config().unwrap().version.0, 12);
     assert!(fleet.apply(put(11, 100), 4));
     assert_eq!(
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_late_entry_of_an_upstream_that_went_is_not_believed() {
+fn a_late_entry_of_a_removed_upstream_is_ignored() {
     let mut fleet = FleetState::default();
     let entry = |revision| revised(revision, Change::Upstream(upstream("t", "west-a", 1)));
     fleet.apply(entry(1), 1);
@@ -135,11 +135,11 @@
     );
     assert!(!fleet.apply(entry(2), 3));
     assert_eq!(fleet.upstreams().count(), 0);
-    assert!(fleet.apply(entry(4), 4), "written anew");
+    assert!(fleet.apply(entry(4), 4), "written again");
 }
 
 #[test]
-fn an_evacuation_ends_with_its_entry_and_news_of_that_reach_a_peer() {
+fn an_evacuation_ends_with_its_entry_and_its_end_reaches_a_peer() {
     let zone = Zone::new("west-a");
     let mut fleet = FleetState::default();
     let listing = |at, entries| Snapshot {
@@ -157,8 +157,8 @@
     fleet.apply_snapshot(listing(9, Vec::new()), 50);
     assert!(!fleet.is_evacuated(&zone));
     assert_eq!(fleet.evacuation_ended_at(&zone), Some(50));
-    let news = fleet.missing(Scope::Operator, peer.newest(Scope::Operator), None);
-    peer.catch_up(news.unwrap(), 60).unwrap();
+    let received = fleet.missing(Scope::Operator, peer.newest(Scope::Operator), None);
+    peer.catch_up(received.unwrap(), 60).unwrap();
     assert!(!peer.is_evacuated(&zone));
     assert_eq!(peer.evacuation_ended_at(&zone), Some(60));
 }
@@ -174,7 +174,7 @@
     assert!(matches!(older, CatchUp::Whole(_)), "{older:?}");
     let same = fleet.missing(scope, Some(at), None).unwrap();
     assert!(matches!(same, CatchUp::Changes { .. }), "{same:?}");
-    // What went away long ago is forgotten; a peer that lacks it gets everything.
+    // The tombstone of "a" has expired; a peer that lacks it gets all entries.
     let gone = |revision, id| {
         let key = ChangeKey::Upstream(UpstreamId::new(id));
         vec![revised(revision, Change::Gone(key))]
--- a/crates/routing/tests/gaps.rs
+++ b/crates/routing/tests/gaps.rs
@@ -1,13 +1,10 @@
-//! A box used an upstream 3.2 s after it had left, though the box was told of everything
-//! since, step by step.
+//! Tests that a box's view has no gaps up to the revision that it reports.
 //!
-//! Upstreams went and came back while boxes were replaced. A new box was told all by another,
-//! then listed the store itself. In between an upstream had come and left again, so the new
-//! box never knew it. Asked by a box that did know it for what had changed since, the new box
-//! told its changes and no word of that upstream: it took itself to know every change since
-//! its first listing. The asker's revision went on, and the upstream stayed.
-//! `BW220` of the asker, whose revision went past the leave's, and no BW225 for the upstream
-//! settled it.
+//! A box once used an upstream 3.2 s after it had left. A new box had received all entries from
+//! a peer and then listed the store. An upstream that was added and removed in between was in
+//! neither, but the new box claimed to know every change since its first listing. A box that
+//! did know the upstream caught up with the new box: its revision moved past the removal, but
+//! the removal wasn't among the changes, so it kept the upstream.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -16,7 +13,7 @@
 use common::recorded_store::{RecordedStore, names};
 use proptest::prelude::*;
 
-/// Boxes that learn from the store and from each other.
+/// Boxes that get data from the store and from each other.
 const BOXES: usize = 3;
 
 fn list(store: &RecordedStore, fleet: &mut FleetState) {
@@ -30,32 +27,32 @@
     fleet.apply_changes(Scope::Upstreams, store.later_than(after), 1);
 }
 
-fn ask(asker: &mut FleetState, asked: &FleetState) {
-    let after = asker.newest(Scope::Upstreams);
-    if let Some(news) = asked.missing(Scope::Upstreams, after, None) {
-        asker.catch_up(news, 1).unwrap();
+fn catch_up_with(receiver: &mut FleetState, sender: &FleetState) {
+    let after = receiver.newest(Scope::Upstreams);
+    if let Some(received) = sender.missing(Scope::Upstreams, after, None) {
+        receiver.catch_up(received, 1).unwrap();
     }
 }
 
 #[test]
-fn a_box_that_listed_over_what_it_knew_hides_no_upstream_that_left() {
+fn a_box_that_lists_over_older_entries_hides_no_removal() {
     let mut store = RecordedStore::default();
     store.add(1, "old");
     let (mut first, mut second) = (FleetState::default(), FleetState::default());
     list(&store, &mut first);
-    ask(&mut second, &first);
+    catch_up_with(&mut second, &first);
     store.add(1, "came-and-left");
     watch(&store, &mut first);
     store.remove(1, "came-and-left");
     list(&store, &mut second);
     store.add(1, "new");
     watch(&store, &mut second);
-    ask(&mut first, &second);
+    catch_up_with(&mut first, &second);
     assert_eq!(first.newest(Scope::Upstreams), Some(store.at()));
     assert_eq!(names(&first), store.names(store.at()));
 }
 
-/// What a box did.
+/// A step of the simulation.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Add(u8),
@@ -63,7 +60,7 @@
     Restart(usize),
     List(usize),
     Watch(usize),
-    Ask(usize, usize),
+    CatchUp(usize, usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -73,18 +70,18 @@
         (0..BOXES).prop_map(Step::Restart),
         (0..BOXES).prop_map(Step::List),
         (0..BOXES).prop_map(Step::Watch),
-        (0..BOXES, 0..BOXES).prop_map(|(asker, asked)| Step::Ask(asker, asked)),
-        (0..BOXES, 0..BOXES).prop_map(|(asker, asked)| Step::Ask(asker, asked)),
+        (0..BOXES, 0..BOXES).prop_map(|(receiver, sender)| Step::CatchUp(receiver, sender)),
+        (0..BOXES, 0..BOXES).prop_map(|(receiver, sender)| Step::CatchUp(receiver, sender)),
     ]
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
-    /// Whatever a box learned from whom: what it holds is what the store held at the
-    /// revision that the box says it knows.
+    /// Regardless of its sources, a box holds exactly the entries that the store had at the
+    /// revision that the box reports.
     #[test]
-    fn what_a_box_knows_is_whole_up_to_its_revision(
+    fn the_entries_of_a_box_are_complete_up_to_its_revision(
         steps in proptest::collection::vec(step(), 1..60)
     ) {
         let mut store = RecordedStore::default();
@@ -96,12 +93,12 @@
                 Step::Restart(number) => boxes[number] = FleetState::default(),
                 Step::List(number) => list(&store, &mut boxes[number]),
                 Step::Watch(number) => watch(&store, &mut boxes[number]),
-                Step::Ask(asker, asked) if asker != asked => {
-                    let mut fleet = std::mem::take(&mut boxes[asker]);
-                    ask(&mut fleet, &boxes[asked]);
-                    boxes[asker] = fleet;
+                Step::CatchUp(receiver, sender) if receiver != sender => {
+                    let mut fleet = std::mem::take(&mut boxes[receiver]);
+                    catch_up_with(&mut fleet, &boxes[sender]);
+                    boxes[receiver] = fleet;
                 }
-                Step::Ask(..) => {}
+                Step::CatchUp(..) => {}
             }
             for fleet in &boxes {
                 if let Some(newest) = fleet.newest(Scope::Upstreams) {
--- a/crates/routing/tests/membership.rs
+++ b/crates/routing/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The membership protocol in a small simulated network, and who follows the store.
+//! Tests of the membership protocol in a small simulated network, and of the boxes' duties.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
@@ -37,11 +37,11 @@
 
 struct Network {
     boxes: Vec<Option<Swim>>,
-    /// Boxes that nothing reaches or leaves.
-    cut: BTreeSet<usize>,
-    under_way: VecDeque<(u64, usize, SocketAddr, SwimMessage)>,
+    /// Boxes that are partitioned from all others.
+    partitioned: BTreeSet<usize>,
+    in_flight: VecDeque<(u64, usize, SocketAddr, SwimMessage)>,
     random: StdRng,
-    lose_every: usize,
+    drop_every: usize,
     sent: usize,
     now: u64,
 }
@@ -51,14 +51,14 @@
         Self::with_links(count, |_| 0)
     }
 
-    /// Boxes whose links carry `link_mbps` of their number.
+    /// Creates boxes whose bandwidth is `link_mbps` of their number.
     fn with_links(count: usize, link_mbps: fn(usize) -> u32) -> Self {
         let mut network = Self {
             boxes: Vec::new(),
-            cut: BTreeSet::new(),
-            under_way: VecDeque::new(),
+            partitioned: BTreeSet::new(),
+            in_flight: VecDeque::new(),
             random: StdRng::seed_from_u64(7),
-            lose_every: usize::MAX,
+            drop_every: usize::MAX,
             sent: 0,
             now: 1,
         };
@@ -83,12 +83,12 @@
         for (to, message) in out {
             self.sent += 1;
             let to = usize::from(to.port() - 1_000);
-            let is_cut = self.cut.contains(&from) != self.cut.contains(&to);
-            if is_cut || self.sent.is_multiple_of(self.lose_every) {
+            let is_partitioned = self.partitioned.contains(&from) != self.partitioned.contains(&to);
+            if is_partitioned || self.sent.is_multiple_of(self.drop_every) {
                 continue;
             }
             let due = self.now + DELAY_MS;
-            self.under_way.push_back((due, to, address(from), message));
+            self.in_flight.push_back((due, to, address(from), message));
         }
     }
 
@@ -97,11 +97,11 @@
         while self.now < end {
             self.now += STEP_MS;
             while self
-                .under_way
+                .in_flight
                 .front()
                 .is_some_and(|(due, ..)| *due <= self.now)
             {
-                let (_, to, from, message) = self.under_way.pop_front().unwrap();
+                let (_, to, from, message) = self.in_flight.pop_front().unwrap();
                 let now = self.now;
                 let Some(Some(swim)) = self.boxes.get_mut(to) else {
                     continue;
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn all_boxes_meet_from_two_seeds() {
+fn all_boxes_join_through_two_seeds() {
     let mut network = Network::new(12);
     network.run(3_000);
     for number in 0..12 {
@@ -149,9 +149,9 @@
 }
 
 #[test]
-fn lost_datagrams_kill_nobody() {
+fn lost_datagrams_make_no_box_dead() {
     let mut network = Network::new(12);
-    network.lose_every = 20;
+    network.drop_every = 20;
     network.run(5_000);
     let mut wrong = 0;
     for _ in 0..40 {
@@ -159,18 +159,18 @@
         let missing: usize = (0..12).map(|n| 11 - network.alive(n).len()).sum();
         wrong += usize::from(missing > 0);
     }
-    assert!(wrong <= 4, "{wrong} of 40 looks found somebody missing");
+    assert!(wrong <= 4, "a box was missing in {wrong} of 40 samples");
 }
 
 #[test]
-fn two_halves_find_each_other_after_a_cut() {
+fn two_halves_rejoin_after_a_partition() {
     let mut network = Network::new(12);
     network.run(3_000);
-    network.cut = (0..6).collect();
+    network.partitioned = (0..6).collect();
     network.run(8_000);
     assert_eq!(network.alive(0).len(), 5);
     assert_eq!(network.alive(11).len(), 5);
-    network.cut.clear();
+    network.partitioned.clear();
     network.run(6_000);
     for number in 0..12 {
         assert_eq!(network.alive(number).len(), 11, "box-{number}");
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_box_whose_clock_went_back_before_its_restart_is_believed() {
+fn a_box_that_restarts_with_a_lower_incarnation_is_alive() {
     let mut network = Network::new(8);
     network.run(3_000);
     network.boxes[3] = Some(Network::swim(3, 1));
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_leaving_box_says_so() {
+fn a_leaving_box_announces_it() {
     let mut network = Network::new(12);
     network.run(3_000);
     let leaving = network.boxes[4].as_mut().unwrap();
@@ -209,7 +209,7 @@
     }
 }
 
-/// Boxes whose duty is one that `is_wanted` names.
+/// Returns the boxes whose duty satisfies `is_wanted`.
 fn with_duty(network: &Network, is_wanted: fn(StoreDuty) -> bool) -> Vec<usize> {
     let duty = |swim: &Swim| Watchers::of(swim).duty;
     let has = |number: &usize| {
@@ -219,18 +219,18 @@
     (0..network.boxes.len()).filter(has).collect()
 }
 
-/// Boxes that follow the store.
+/// Returns the boxes that follow the store.
 fn followers(network: &Network) -> Vec<usize> {
     with_duty(network, StoreDuty::follows_store)
 }
 
-/// Boxes that do anything for others: follow the store or tell their zone.
+/// Returns the followers and relays.
 fn watchers(network: &Network) -> Vec<usize> {
     with_duty(network, |duty| duty != StoreDuty::Hears)
 }
 
 #[test]
-fn two_boxes_follow_the_store_and_each_zone_has_one_that_tells_it() {
+fn two_boxes_follow_the_store_and_each_zone_has_a_follower_or_relay() {
     for boxes in [12, 30, 90] {
         let mut network = Network::new(boxes);
         network.run(6_000);
@@ -243,24 +243,24 @@
 }
 
 #[test]
-fn exactly_one_box_confirms_and_knows_all_that_have_to_be_told() {
+fn exactly_one_box_leads_and_knows_all_followers_and_relays() {
     let mut network = Network::new(30);
     network.run(4_000);
     let confirms = with_duty(&network, |duty| duty == StoreDuty::Confirms);
     assert_eq!(confirms.len(), 1, "{confirms:?}");
     let swim = network.boxes[confirms[0]].as_ref().unwrap();
-    let told: BTreeSet<SocketAddr> = Watchers::of(swim).others.into_iter().collect();
+    let listed_peers: BTreeSet<SocketAddr> = Watchers::of(swim).others.into_iter().collect();
     let watching = watchers(&network).into_iter();
     let others = watching.filter(|number| *number != confirms[0]);
-    assert_eq!(told, others.map(address).collect());
+    assert_eq!(listed_peers, others.map(address).collect());
 }
 
 #[test]
-fn others_step_in_for_boxes_that_the_store_turns_away() {
+fn followers_that_lose_the_store_are_replaced() {
     let mut network = Network::new(30);
     network.run(4_000);
-    let turned_away = followers(&network);
-    for number in &turned_away {
+    let unserved = followers(&network);
+    for number in &unserved {
         let swim = network.boxes[*number].as_mut().unwrap();
         swim.set_reaches_store(false);
     }
@@ -268,7 +268,7 @@
     let following = followers(&network);
     assert_eq!(following.len(), 2, "{following:?}");
     assert!(
-        following.iter().all(|number| !turned_away.contains(number)),
+        following.iter().all(|number| !unserved.contains(number)),
         "{following:?}"
     );
 }
@@ -283,7 +283,7 @@
     assert!(watching.iter().all(|number| *number < 6), "{watching:?}");
     let zones: BTreeSet<usize> = watching.iter().map(|number| number % 3).collect();
     assert_eq!(zones.len(), 3);
-    // Without them slow ones do it.
+    // Without them, slow boxes take over.
     for number in 0..6 {
         network.boxes[number] = None;
     }
@@ -294,28 +294,28 @@
 }
 
 #[test]
-fn news_are_hinted_at_once() {
+fn a_new_revision_is_announced_at_once() {
     let mut network = Network::new(12);
     network.run(3_000);
-    let teller = network.boxes[2].as_mut().unwrap();
-    assert!(teller.set_revision(Scope::Upstreams, Revision(9)));
+    let announcer = network.boxes[2].as_mut().unwrap();
+    assert!(announcer.set_revision(Scope::Upstreams, Revision(9)));
     assert!(
-        !teller.set_revision(Scope::Upstreams, Revision(8)),
-        "never back"
+        !announcer.set_revision(Scope::Upstreams, Revision(8)),
+        "never lowered"
     );
-    let out = teller.hints(&mut StdRng::seed_from_u64(1));
+    let out = announcer.hints(&mut StdRng::seed_from_u64(1));
     network.send(2, out);
     network.run(3 * STEP_MS);
-    let heard = (0..12).filter(|number| {
+    let informed = (0..12).filter(|number| {
         let swim = network.boxes[*number].as_ref().unwrap();
         swim.members()
             .any(|member| member.record.revision(Scope::Upstreams) == Revision(9))
     });
-    assert!(heard.count() >= 3);
+    assert!(informed.count() >= 3);
 }
 
 #[test]
-fn groups_that_never_heard_of_each_other_join_when_one_box_is_introduced() {
+fn separate_groups_join_when_one_box_gets_a_contact() {
     let mut network = Network::new(6);
     for number in 0..6 {
         let first_of_group = number / 3 * 3;
@@ -327,7 +327,7 @@
     assert_eq!(network.alive(0).len(), 2);
     let swim = network.boxes[0].as_mut().unwrap();
     let listed = [address(0), address(1), address(4)];
-    assert_eq!(swim.introduce(listed.into_iter()), 1, "only one is strange");
+    assert_eq!(swim.introduce(listed.into_iter()), 1, "only one is new");
     network.run(5_000);
     for number in 0..6 {
         assert_eq!(network.alive(number).len(), 5, "box {number}");
