--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -268,7 +268,10 @@
         let routes = self.routes.iter().filter(has_service);
         let workspaces = self.workspaces.values();
         Rank {
-            workspace: workspaces.map(|workspace| workspace.priority).min().unwrap_or(0),
+            workspace: workspaces
+                .map(|workspace| workspace.priority)
+                .min()
+                .unwrap_or(0),
             route: routes.map(|route| route.priority).min().unwrap_or(0),
         }
     }
@@ -303,9 +306,9 @@
     owner: &str,
     field: &'static str,
     value: f64,
-    max: f64,
+    max_value: f64,
 ) -> Result<(), ConfigError> {
-    if (0.0..=max).contains(&value) {
+    if (0.0..=max_value).contains(&value) {
         return Ok(());
     }
     Err(ConfigError::InvalidNumber {
--- a/crates/routing/src/config_patch.rs
+++ b/crates/routing/src/config_patch.rs
@@ -205,12 +205,15 @@
     (&route.host, &route.path_prefix)
 }
 
-fn as_key(route_key: &RoutePlace) -> (&str, &str) {
-    (&route_key.host, &route_key.path_prefix)
+fn as_key(key: &RoutePlace) -> (&str, &str) {
+    (&key.host, &key.path_prefix)
 }
 
 fn by_key(routes: &[Route]) -> HashMap<(&str, &str), &Route> {
-    routes.iter().map(|route| (route_key(route), route)).collect()
+    routes
+        .iter()
+        .map(|route| (route_key(route), route))
+        .collect()
 }
 
 /// The latest patches, each based on the result of the one before. Together they name at most
--- a/crates/routing/src/fleet_state/evacuations.rs
+++ b/crates/routing/src/fleet_state/evacuations.rs
@@ -75,7 +75,7 @@
         ended.map(entry).collect()
     }
 
-    fn open(&self) -> impl Iterator<Item = (&Zone, &Evacuation)> {
+    fn active(&self) -> impl Iterator<Item = (&Zone, &Evacuation)> {
         let all = self.by_zone.iter();
         all.filter(|(_, evacuation)| evacuation.ended_at.is_none())
     }
--- a/crates/routing/src/fleet_state/mod.rs
+++ b/crates/routing/src/fleet_state/mod.rs
@@ -30,7 +30,7 @@
     config: HeldConfig,
     evacuations: Evacuations,
     upstreams: UpstreamEntries,
-    scopes: BTreeMap<Scope, ScopeProgress>,
+    scopes: BTreeMap<Scope, Progress>,
     views: BTreeMap<Scope, View>,
     /// When the store last failed to serve this box.
     store_failed_at: Option<Millis>,
@@ -38,7 +38,7 @@
 
 /// How far a scope is known.
 #[derive(Clone, Copy, Debug, Default)]
-struct ScopeProgress {
+struct Progress {
     /// Every change up to here is known.
     newest: Revision,
     /// All changes after this revision are kept, including removals.
@@ -124,7 +124,7 @@
         for entry in snapshot.entries {
             changed |= self.apply_unless_known(entry, newest, now);
         }
-        let progress = self.scopes.entry(snapshot.scope).or_insert(ScopeProgress {
+        let progress = self.scopes.entry(snapshot.scope).or_insert(Progress {
             newest: snapshot.at,
             kept_since: snapshot.at,
         });
@@ -195,7 +195,10 @@
     /// Records a watermark of `scope` from the store or from a peer.
     pub fn claim(&mut self, scope: Scope, watermark: Claim) {
         let newest = self.newest(scope);
-        self.views.entry(scope).or_default().record(watermark, newest);
+        self.views
+            .entry(scope)
+            .or_default()
+            .record(watermark, newest);
     }
 
     /// Returns the time on this box's clock as of which everything in `scope` is known; `None`
--- a/crates/routing/src/fleet_state/upstream_entries.rs
+++ b/crates/routing/src/fleet_state/upstream_entries.rs
@@ -116,7 +116,10 @@
     }
 
     pub(super) fn lost_present_as_of(&self, id: &UpstreamId) -> Option<Option<Millis>> {
-        let tombstone = self.tombstones.get(id).filter(|tombstone| !tombstone.is_unreadable);
+        let tombstone = self
+            .tombstones
+            .get(id)
+            .filter(|tombstone| !tombstone.is_unreadable);
         tombstone.map(|tombstone| tombstone.present_as_of)
     }
 
--- a/crates/routing/src/fleet_state/view.rs
+++ b/crates/routing/src/fleet_state/view.rs
@@ -45,7 +45,10 @@
 
     /// Returns the latest pending revision.
     pub(super) fn pending_revision(&self) -> Option<Revision> {
-        self.pending.iter().map(|watermark| watermark.revision).max()
+        self.pending
+            .iter()
+            .map(|watermark| watermark.revision)
+            .max()
     }
 
     /// Records a watermark; everything up to `newest` is known.
--- a/crates/routing/src/swim/mod.rs
+++ b/crates/routing/src/swim/mod.rs
@@ -125,7 +125,10 @@
 
     /// Returns the latest revision of `scope` that any box ever reported.
     pub fn newest_heard(&self, scope: Scope) -> Revision {
-        self.reported_revisions.get(&scope).copied().unwrap_or_default()
+        self.reported_revisions
+            .get(&scope)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Returns a counter that is incremented when a box joins or when its liveness or published
@@ -253,7 +256,10 @@
                 self.merge_all(updates, now);
                 self.start_indirect_probe(from, sequence, peer, now)
             }
-            SwimMessage::Sync { wants_reply, updates } => {
+            SwimMessage::Sync {
+                wants_reply,
+                updates,
+            } => {
                 self.merge_all(updates, now);
                 if wants_reply {
                     self.sync_replies(from, random)
@@ -278,7 +284,13 @@
         let message = |address| {
             let updates = updates.clone();
             let wants_reply = false;
-            (address, SwimMessage::Sync { wants_reply, updates })
+            (
+                address,
+                SwimMessage::Sync {
+                    wants_reply,
+                    updates,
+                },
+            )
         };
         addresses.into_iter().map(message).collect()
     }
--- a/crates/routing/src/swim/probing.rs
+++ b/crates/routing/src/swim/probing.rs
@@ -128,7 +128,10 @@
         };
         let updates = self.updates_to_send();
         let sequence = indirect_probe.requester_sequence;
-        vec![(indirect_probe.requester, SwimMessage::Ack { sequence, updates })]
+        vec![(
+            indirect_probe.requester,
+            SwimMessage::Ack { sequence, updates },
+        )]
     }
 
     pub(super) fn start_indirect_probe(
--- a/crates/routing/src/swim/spreading.rs
+++ b/crates/routing/src/swim/spreading.rs
@@ -151,7 +151,13 @@
         for receiver in receivers {
             let updates = vec![self.own_update()];
             let wants_reply = true;
-            out.push((receiver, SwimMessage::Sync { wants_reply, updates }));
+            out.push((
+                receiver,
+                SwimMessage::Sync {
+                    wants_reply,
+                    updates,
+                },
+            ));
         }
     }
 
@@ -163,8 +169,17 @@
         let message = |updates: &[Update]| {
             let updates = updates.to_vec();
             let wants_reply = false;
-            (to, SwimMessage::Sync { wants_reply, updates })
+            (
+                to,
+                SwimMessage::Sync {
+                    wants_reply,
+                    updates,
+                },
+            )
         };
-        updates.chunks(MAX_UPDATES_PER_MESSAGE).map(message).collect()
+        updates
+            .chunks(MAX_UPDATES_PER_MESSAGE)
+            .map(message)
+            .collect()
     }
 }
