--- a/crates/edge/src/answer.rs
+++ b/crates/edge/src/answer.rs
@@ -1,11 +1,12 @@
-//! Answers that the box itself gives.
+//! Responses that the box itself creates.
 
 use crate::body::{AnyBody, full};
 use brasswinch_types::{ErrorKind, RetryHint};
 use http::{HeaderValue, Response, StatusCode, header};
 
-/// The answer for an error kind, from the closed table. Callers that are refused
-/// together are told times that are spread over once to twice the table's.
+/// Returns the response for an error kind, from the table of errors. The retry time is
+/// randomized between one and two times the table's, so that clients refused together don't
+/// return together.
 pub(crate) fn error_answer(kind: ErrorKind) -> Response<AnyBody> {
     let row = kind.answer();
     let retry_after_ms = match row.retry {
@@ -15,7 +16,7 @@
     answer(kind, retry_after_ms)
 }
 
-/// The same with a time to come back that is known better than the table's.
+/// Returns the response for an error kind with a retry time other than the table's.
 pub(crate) fn refusal(kind: ErrorKind, retry_after_ms: u64) -> Response<AnyBody> {
     answer(kind, Some(retry_after_ms))
 }
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One try of a request at one upstream, and what is known of its end.
+//! One attempt to send a request to one upstream, and its outcome.
 
 use crate::asking::Asked;
 use crate::body::{AnyBody, BodyError, PassLimits, Passed, full, hold};
@@ -18,78 +18,79 @@
 use std::time::Duration;
 use tokio::time::timeout_at;
 
-/// Answers up to this length are held whole before a byte goes to the client.
+/// Responses up to this length are buffered whole before the first byte goes to the client.
 const MOST_HELD_ANSWER: usize = 256 * 1024;
 
-/// Longest answer.
+/// Maximum length of a response body.
 const MOST_ANSWER_BYTES: u64 = 1 << 32;
 
-/// Longest rest of a connection that may carry a request that must not run twice: if
-/// the upstream closes it at that moment, nobody knows whether the request ran.
+/// Maximum idle time of a connection that may carry a request that must not run twice. If the
+/// upstream closes an idle connection while the request is sent, it is unknown whether it ran.
 const FRESH_REST: Duration = Duration::from_secs(3);
 
-/// Longest rest of any other connection; the pool ends it sooner where the upstream says.
+/// Maximum idle time of a connection for repeatable requests. The pool applies a shorter limit
+/// of its own.
 const ANY_REST: Duration = Duration::from_secs(3_600);
 
-/// What a request is sent with.
+/// A request to be sent to an upstream.
 pub(crate) struct Outgoing<'a> {
     pub(crate) parts: &'a http::request::Parts,
     pub(crate) body: OutgoingBody,
-    /// When the client must have its answer.
+    /// When the client must have its response.
     pub(crate) answer_by: &'a Deadline,
     /// Whether it may run more than once.
     pub(crate) is_repeatable: bool,
     pub(crate) identity: Identity<'a>,
-    /// What it is known by, where an upstream has ended under it.
+    /// The request's digest, if it has been computed for the quarantine.
     pub(crate) digest: Option<RequestDigest>,
 }
 
-/// Whose request it is, as its upstream is told.
+/// The client's identity, as forwarded to the upstream.
 #[derive(Clone, Copy)]
 pub(crate) struct Identity<'a> {
-    /// The workspace that holds the client's key; `None` where no key is needed.
+    /// The workspace that owns the client's key; `None` if the route needs no key.
     pub(crate) workspace: Option<&'a Workspace>,
-    /// Whether the client's credential is for this system, and nobody else may see it.
+    /// Whether the client's credential is meant for this system and must not be forwarded.
     pub(crate) hides_credential: bool,
 }
 
-/// The body that is sent.
+/// The body of a request to an upstream.
 pub(crate) enum OutgoingBody {
-    /// It is held whole.
+    /// Buffered whole; it can be sent again.
     Whole(Bytes),
-    /// It is passed on and can't be sent again.
+    /// Streamed from the client; it can't be sent again.
     Passed(AnyBody),
 }
 
-/// How a try ended.
+/// The outcome of an attempt.
 pub(crate) enum AttemptEnd {
-    /// A whole answer, or one that is on its way.
+    /// The upstream responded. The body is buffered, or streamed if it is long.
     Answer(Response<AnyBody>),
-    /// The upstream said that it did not run it.
+    /// The upstream reported that it did not run the request.
     Refused,
     /// Nothing was sent.
     NotSent(OutgoingBody),
-    /// It was sent, and the upstream's connection ended under it.
+    /// The request was sent, and the connection closed before the response was complete.
     Broken,
-    /// It was sent, and there is an answer that can't be used.
+    /// The request was sent, and the response is invalid.
     Unusable,
-    /// The time is over; it was sent.
+    /// The request was sent, and its deadline passed.
     TimeOver,
 }
 
-/// An upstream, and the question that it was chosen with.
+/// A chosen upstream, with the placement request and the limit's grant that go with it.
 pub(crate) struct Chosen {
     pub(crate) choice: Choice,
     pub(crate) asked: Option<Asked>,
     pub(crate) grant: Grant,
 }
 
-/// Counts the request at its upstream until it ends, whatever the way.
+/// Counts the request at its upstream until it is dropped, and then records the outcome.
 pub(crate) struct Placed {
     context: Arc<Context>,
     choice: Choice,
     grant: Grant,
-    /// The question that it was chosen with, to be ended with it.
+    /// The placement request that it was chosen by; completed when this is dropped.
     asked: Option<Asked>,
     digest: Option<RequestDigest>,
     request_id: Option<HeaderValue>,
@@ -132,7 +133,7 @@
     }
 }
 
-/// Sends a request to the chosen upstream and reads its answer.
+/// Sends a request to the chosen upstream and reads its response.
 pub(crate) async fn attempt(
     context: &Arc<Context>,
     chosen: Chosen,
@@ -165,7 +166,7 @@
             Exchanged::Answer(answer, connection) => {
                 return finish(answer, connection, placed, outgoing.answer_by).await;
             }
-            // The upstream closed it while it rested; a new one tells whether it serves.
+            // The upstream closed the idle connection. Connecting anew shows whether it still serves.
             Exchanged::NotSent(unsent) if is_rested => body = unsent,
             Exchanged::NotSent(unsent) => {
                 placed.outcome = UpstreamOutcome::Unreachable;
@@ -216,7 +217,7 @@
     TimeOver,
 }
 
-/// Sends the request on a connection and waits for the head of the answer.
+/// Sends the request on a connection and waits for the head of the response.
 async fn exchange(
     mut connection: Connection,
     head: &Head<'_>,
@@ -234,7 +235,7 @@
         Ok(Err(mut failure)) => match (failure.take_message(), whole) {
             (Some(_), Some(bytes)) => Exchanged::NotSent(OutgoingBody::Whole(bytes)),
             (Some(request), None) => Exchanged::NotSent(OutgoingBody::Passed(request.into_body())),
-            // An upstream that sends something, whatever it is, has not ended.
+            // An upstream that sends unparsable bytes has not crashed.
             (None, _) if failure.error().is_parse() => Exchanged::Unusable,
             (None, _) => Exchanged::Broken,
         },
@@ -242,8 +243,8 @@
     }
 }
 
-/// The request as the upstream gets it: the client's, with the time that is left, the
-/// incarnation that it is meant for and the workspace's name, and without the key.
+/// Builds the upstream's request from the client's: adds the remaining time, the intended
+/// upstream and the workspace's name, and removes the key where it is meant for this system.
 fn upstream_request(head: &Head<'_>, body: OutgoingBody, placed: &Placed) -> Request<AnyBody> {
     let dialect = &placed.context.dialect;
     let mut headers = end_to_end(&head.parts.headers);
@@ -279,12 +280,13 @@
     request
 }
 
-/// A workspace's name as a header. Names that can't be one aren't configured.
+/// Returns a workspace's name as a header value. The configuration allows only names that are
+/// valid header values.
 fn header_text(workspace: &Workspace) -> HeaderValue {
     HeaderValue::from_str(workspace.as_str()).unwrap_or(HeaderValue::from_static(""))
 }
 
-/// Checks that the answer belongs to the request and brings it to its end.
+/// Validates the response, applies its signals, and buffers or streams its body.
 async fn finish(
     answer: Response<Incoming>,
     mut connection: Connection,
@@ -352,21 +354,21 @@
 }
 
 impl Placed {
-    /// The upstream brought its answer to the end.
+    /// Reports to the quarantine that the upstream completed its response.
     fn survived(&self) {
         if let Some(digest) = self.digest {
             self.context.run_answered(digest);
         }
     }
 
-    /// Whether the upstream still wants the request. It may have said otherwise while a connection
-    /// to it came up.
+    /// Whether the upstream still accepts the request. Its state may have changed while the
+    /// connection was being established.
     fn may_send(&self) -> bool {
         let now = self.context.clock.now();
         self.context.placement().may_send(&self.choice, now)
     }
 
-    /// Takes what the upstream says of itself.
+    /// Applies the signals in the upstream's response.
     fn hear(&mut self, signals: &UpstreamSignals) {
         self.context.hear_signals(&self.choice, self.grant, signals);
         if let (Some(report), Some(asked)) = (signals.load, &mut self.asked) {
@@ -374,7 +376,7 @@
         }
     }
 
-    /// Whether an answer is to this request: it repeats the request's id.
+    /// Whether a response belongs to this request: it must repeat the request's id, if there is one.
     fn belongs(&self, headers: &HeaderMap) -> bool {
         let dialect = &self.context.dialect;
         match (&self.request_id, headers.get(&dialect.request_id)) {
--- a/crates/edge/src/body.rs
+++ b/crates/edge/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: held whole where they are short, passed on piece by piece where not.
+//! Bodies: short ones are buffered whole, longer ones are streamed.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::combinators::BoxBody;
@@ -8,46 +8,46 @@
 use std::task::{Context, Poll};
 use tokio::time::{Instant, Sleep};
 
-/// The body of an answer to a client, or of a request to an upstream.
+/// The body of a response to a client, or of a request to an upstream.
 pub(crate) type AnyBody = BoxBody<Bytes, BodyError>;
 
-/// Why a body was cut.
+/// Why a body ended early.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BodyError {
-    /// The other side broke off.
-    #[error("the body broke off: {0}")]
+    /// The sender's connection failed.
+    #[error("the connection failed before the end of the body: {0}")]
     Broken(#[from] hyper::Error),
-    /// It is longer than allowed.
-    #[error("the body is too long")]
+    /// The body is longer than allowed.
+    #[error("the body exceeds the maximum length")]
     TooLong,
-    /// The request's time is over.
-    #[error("the time is over")]
+    /// The request's deadline passed.
+    #[error("the request's deadline passed before the end of the body")]
     TimeOver,
 }
 
-/// A body that is held whole.
+/// Returns a body of the given bytes.
 pub(crate) fn full(bytes: impl Into<Bytes>) -> AnyBody {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// The beginning of a body, as much as is held, and the rest if there is more.
+/// A body that is buffered, whole or in part.
 pub(crate) struct Held {
-    /// What was read.
+    /// The buffered bytes.
     pub(crate) bytes: Bytes,
-    /// What was not, where the body is longer than is held.
+    /// The remainder, if the body is longer than the limit.
     pub(crate) rest: Option<Incoming>,
 }
 
 impl Held {
-    /// Whether the whole body is held, so that it can be sent again.
+    /// Whether the whole body is buffered, so that it can be sent again.
     pub(crate) fn is_whole(&self) -> bool {
         self.rest.is_none()
     }
 }
 
-/// Reads a body up to `most_held` bytes; longer ones are held in part.
+/// Buffers a body up to `most_held` bytes; a longer one is buffered in part.
 pub(crate) async fn hold(mut body: Incoming, most_held: usize) -> Result<Held, BodyError> {
     let mut pieces = BytesMut::new();
     let mut first: Option<Bytes> = None;
@@ -80,21 +80,21 @@
     first.unwrap_or_else(|| pieces.freeze())
 }
 
-/// A body that was begun and is passed on piece by piece until `until`.
+/// A body that is streamed: its buffered beginning, then the remainder as it arrives.
 pub(crate) struct Passed<G> {
     begun: Option<Bytes>,
     rest: Incoming,
     timer: Pin<Box<Sleep>>,
-    /// Bytes that may still come.
+    /// Bytes that may still arrive.
     allowance: u64,
-    /// Held until the body ends.
+    /// Kept until the body ends.
     guard: Option<G>,
     on_whole: Option<fn(G)>,
 }
 
 impl<G> Passed<G> {
-    /// Passes on `begun`, then `rest`. `guard` is given to `on_whole` at a whole end and
-    /// dropped at any other.
+    /// Streams `begun`, then `rest`. `guard` is passed to `on_whole` when the body is complete,
+    /// and dropped if it ends early.
     pub(crate) fn new(
         begun: Bytes,
         rest: Incoming,
@@ -119,12 +119,12 @@
     }
 }
 
-/// Limits of a body that is passed on.
+/// Limits of a streamed body.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PassLimits {
-    /// Longest body.
+    /// Maximum length in bytes.
     pub(crate) most_bytes: u64,
-    /// When it must have ended.
+    /// When the body must be complete.
     pub(crate) until: Instant,
 }
 
--- a/crates/edge/src/budgets.rs
+++ b/crates/edge/src/budgets.rs
@@ -1,4 +1,4 @@
-//! The budgets of repeats, one for each service, that all boxes spend from.
+//! Retry budgets, one per service, shared by all boxes.
 
 use crate::context::Context;
 use crate::status::RepeatsLeft;
@@ -7,26 +7,26 @@
 use std::collections::HashMap;
 use std::sync::{Mutex, PoisonError};
 
-/// This box's part of the budgets.
+/// This box's share of the budgets.
 #[derive(Default)]
 pub(crate) struct Budgets {
     by_service: Mutex<HashMap<Service, RetryBudget>>,
 }
 
 impl Context {
-    /// Counts a request for `service`.
+    /// Counts a request for `service` towards its retry budget.
     pub(crate) fn count_request(&self, service: &Service) {
         let now = self.clock.now();
         self.with_budget(service, |budget| budget.count_request(now));
     }
 
-    /// Whether a request for `service` may be sent once more.
+    /// Spends one retry of `service`'s budget. Returns whether the budget allowed it.
     pub(crate) fn spend_retry(&self, service: &Service) -> bool {
         let (boxes, now) = (self.sharing_boxes(), self.clock.now());
         self.with_budget(service, |budget| budget.spend(boxes, now))
     }
 
-    /// What is left of each service's budget, by the services' names.
+    /// Returns this box's remaining retries of each service, sorted by service.
     pub(crate) fn repeats_left(&self) -> Vec<RepeatsLeft> {
         let (boxes, now) = (self.sharing_boxes(), self.clock.now());
         let budgets = self.budgets.by_service.lock();
--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -1,7 +1,7 @@
-//! The clock of the process: it counts the time for which the machine was suspended.
+//! The clock of the process. It includes the time for which the machine was suspended.
 //!
-//! The runtime's timers run on the steady clock, which stands still meanwhile. So every age and
-//! every deadline is read here, and a timer that fires is followed by a look at this clock.
+//! The runtime's timers use the monotonic clock, which stops during suspension. Therefore all ages
+//! and deadlines are computed from this clock, and code that wakes up on a timer checks it again.
 
 use brasswinch_types::Millis;
 use rustix::time::{ClockId, clock_gettime};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Counts from its creation.
+/// A clock that counts from its creation.
 #[derive(Clone, Debug)]
 pub struct Clock {
     began: Duration,
@@ -29,23 +29,23 @@
 }
 
 impl Clock {
-    /// Goes on by `span` at once, as it does while the machine is suspended. All its clones do.
+    /// Advances the clock and all its clones by `span`, as a suspension of the machine does.
     pub fn skip(&self, span: Duration) {
         let span = Self::millis(span);
         self.skipped_ms.fetch_add(span, Ordering::Relaxed);
     }
 
-    /// Milliseconds since it was created. Never 0, which stands for "never".
+    /// Returns the milliseconds since its creation. Never 0, which callers use for "never".
     pub(crate) fn now(&self) -> Millis {
         Self::millis(self.elapsed()) + 1
     }
 
-    /// A span as the clock counts it.
+    /// Converts a duration to milliseconds.
     pub(crate) fn millis(span: Duration) -> Millis {
         span.as_millis() as Millis
     }
 
-    /// The moment in `span` from now.
+    /// Returns the deadline `span` from now.
     pub(crate) fn after(&self, span: Duration) -> Deadline {
         Deadline {
             at: self.elapsed() + span,
@@ -67,7 +67,7 @@
     Duration::new(seconds, nanos)
 }
 
-/// A moment by the clock.
+/// A point in time on the clock.
 #[derive(Clone, Debug)]
 pub(crate) struct Deadline {
     at: Duration,
@@ -75,17 +75,17 @@
 }
 
 impl Deadline {
-    /// The time left; zero if it has passed.
+    /// Returns the time left; zero if the deadline has passed.
     pub(crate) fn left(&self) -> Duration {
         self.at.saturating_sub(self.clock.elapsed())
     }
 
-    /// Whether it has passed.
+    /// Whether the deadline has passed.
     pub(crate) fn is_over(&self) -> bool {
         self.left().is_zero()
     }
 
-    /// When a timer that is set now has to fire.
+    /// Returns the deadline as an instant of the runtime's timers.
     pub(crate) fn timer(&self) -> Instant {
         Instant::now() + self.left()
     }
--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to upstreams. Each carries one request at a time and is kept only after a
-//! whole exchange, so that bytes of one answer can never reach another request.
+//! Pooled connections to upstreams. Each carries one request at a time and is reused only after a
+//! complete exchange, so that bytes of one response can't reach another request.
 
 use crate::body::AnyBody;
 use crate::clock::Clock;
@@ -14,29 +14,29 @@
 use tokio::net::TcpSocket;
 use tokio::task::AbortHandle;
 
-/// Longest time for a connection to come up.
+/// Timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Longest time that sent bytes may stay without a receipt: a machine without power
-/// says nothing.
+/// Maximum time that sent bytes may stay unacknowledged. A machine that lost power closes no
+/// connection.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Rest after which a connection is probed by the kernel, and time between probes.
+/// Idle time after which the kernel sends keepalive probes, and the interval between probes.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
 
-/// Probes without a receipt after which a connection is given up.
+/// Unacknowledged probes after which the kernel closes a connection.
 const MOST_PROBES: u32 = 2;
 
-/// Idle connections that are kept to one upstream.
+/// Maximum idle connections per upstream.
 const MOST_IDLE: usize = 24;
 
-/// Rest after which a connection is closed, unless the upstream tells less.
+/// Maximum idle time of a connection, unless the upstream announces less.
 const LONGEST_IDLE: Duration = Duration::from_secs(8);
 
-/// Taken off the rest that an upstream tells, for the way there.
+/// Subtracted from the idle time that an upstream announces, to allow for network delay.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_500);
 
-/// The two halves of a connection. Dropping it closes it.
+/// A connection's request sender and the task that drives it. Dropping it closes the connection.
 #[derive(Debug)]
 struct Link {
     sender: SendRequest<AnyBody>,
@@ -49,7 +49,7 @@
     }
 }
 
-/// A connection that carries or may carry a request. Dropping it closes it.
+/// A connection taken from the pool or newly established. Dropping it closes it.
 pub(crate) struct Connection {
     link: Link,
     upstream: UpstreamId,
@@ -73,7 +73,7 @@
 }
 
 impl ConnectionPool {
-    /// Connects from `local`.
+    /// Creates a pool that connects from the address `local`.
     pub(crate) fn new(local: IpAddr, clock: Clock) -> Self {
         Self {
             idle: Mutex::default(),
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The connection that rested least, if it rested at most `longest_rest`.
+    /// Takes the connection that was idle for the shortest time, if at most `longest_rest`.
     pub(crate) fn take(
         self: &Arc<Self>,
         upstream: &UpstreamId,
@@ -105,7 +105,7 @@
         None
     }
 
-    /// A new connection.
+    /// Establishes a new connection.
     pub(crate) async fn connect(
         self: &Arc<Self>,
         upstream: &UpstreamId,
@@ -120,7 +120,7 @@
             .await
             .map_err(std::io::Error::other)?;
         let task = tokio::spawn(async move {
-            // Its error reaches the request that it carries.
+            // Errors are returned by the request that the connection carries.
             let _ = connection.await;
         });
         Ok(Connection {
@@ -153,7 +153,7 @@
         Ok(stream)
     }
 
-    /// Closes connections that rested too long, and all to upstreams that are gone.
+    /// Closes connections past their idle limit, and all connections to upstreams that are unknown.
     pub(crate) fn sweep(&self, is_known: impl Fn(&UpstreamId) -> bool) {
         let mut idle = self.lock();
         idle.retain(|upstream, rested| {
@@ -167,7 +167,7 @@
         self.lock().remove(upstream);
     }
 
-    /// How long a connection has rested.
+    /// Returns how long a connection has been idle.
     fn rest(&self, idle: &Idle) -> Duration {
         Duration::from_millis(self.clock.now().saturating_sub(idle.since))
     }
@@ -187,18 +187,18 @@
 }
 
 impl Connection {
-    /// What sends the request.
+    /// Returns the sender of requests.
     pub(crate) fn sender(&mut self) -> &mut SendRequest<AnyBody> {
         &mut self.link.sender
     }
 
-    /// Takes the rest that the upstream allows, in seconds.
+    /// Applies the idle timeout that the upstream announces, in seconds.
     pub(crate) fn set_idle_limit(&mut self, seconds: u64) {
         let told = Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN);
         self.idle_limit = told.min(LONGEST_IDLE);
     }
 
-    /// Keeps it for another request, if it is whole.
+    /// Returns the connection to the pool, unless it is closed.
     pub(crate) fn reuse(self) {
         if self.link.sender.is_closed() || self.idle_limit.is_zero() {
             return;
--- a/crates/edge/src/counted.rs
+++ b/crates/edge/src/counted.rs
@@ -1,12 +1,12 @@
-//! What a request counts for while it is being answered.
+//! Counters that a request holds while it is in flight.
 
 use crate::context::Context;
 use std::sync::atomic::Ordering;
 
-/// Part of the memory allowed that held bodies may take.
+/// Divisor of the allowed memory: buffered bodies may take one such part.
 const HELD_PART_OF_MEMORY: usize = 4;
 
-/// Counts a request while it is being answered.
+/// Counts a request while it is in flight.
 pub(crate) struct InFlight<'a>(&'a Context);
 
 impl<'a> InFlight<'a> {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Counts the bytes of a held body while it is held.
+/// Counts the bytes of a body while it is buffered.
 pub(crate) struct HeldBytes<'a> {
     context: &'a Context,
     bytes: usize,
--- a/crates/edge/src/credentials.rs
+++ b/crates/edge/src/credentials.rs
@@ -1,14 +1,14 @@
-//! Reads the key that a client shows.
+//! Reads the key in a client's request.
 
 use crate::context::Context;
 use brasswinch_routing::Scope;
 use http::{HeaderMap, header};
 
-/// Longest key, in bytes. Keys are some tens of bytes long; what is longer isn't hashed.
+/// Maximum length of a key. Keys are tens of bytes long; longer values are rejected unhashed.
 const MOST_KEY_BYTES: usize = 1_024;
 
-/// The key in a head that shows exactly one, as `SCHEME KEY` with one space between. Nothing
-/// of it is ever shown: what can't be read is no key.
+/// Returns the key of a head with exactly one `Authorization` value of the form `SCHEME KEY`, with
+/// one space between. Returns `None` for any other value, so that no part of it reaches a log.
 pub(crate) fn shown_key<'a>(headers: &'a HeaderMap, scheme: &str) -> Option<&'a [u8]> {
     let mut shown = headers.get_all(header::AUTHORIZATION).iter();
     let only = shown.next()?.as_bytes();
@@ -24,9 +24,8 @@
 }
 
 impl Context {
-    /// Whether the keys that this box knows may still be taken. Where operators want that,
-    /// a box that is out of touch with the store refuses rather than take a key that may have
-    /// been taken away.
+    /// Whether the keys that this box knows may still be accepted. If a maximum age is set, a box
+    /// that has lost contact with the store rejects all keys, since one may have been revoked.
     pub(crate) fn may_trust_keys(&self) -> bool {
         let Some(longest_s) = self.settings.bounds.longest_unconfirmed_keys_s else {
             return true;
--- a/crates/edge/src/datagram.rs
+++ b/crates/edge/src/datagram.rs
@@ -1,4 +1,4 @@
-//! What boxes send each other in datagrams, in CBOR.
+//! The datagrams that boxes send each other, encoded in CBOR.
 
 use crate::health::ColdNews;
 use brasswinch_routing::{
@@ -10,37 +10,37 @@
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Datagram {
-    /// Membership.
+    /// Membership and gossip.
     #[serde(rename = "s")]
     Swim(SwimMessage),
-    /// Where should this request go?
+    /// Asks an upstream's owner where to send a request.
     #[serde(rename = "q")]
     Question(Question),
-    /// There.
+    /// The reply to a placement request.
     #[serde(rename = "a")]
     Advice(Advice),
-    /// So it ended.
+    /// Reports the outcome of a request to the owner that was asked where to send it.
     #[serde(rename = "e")]
     Ending(Ending),
-    /// A request of a workspace with a quota.
+    /// Reports a request of a workspace with a quota to the quota's owner; may ask to send it.
     #[serde(rename = "c")]
     QuotaCount(QuotaCount),
-    /// What the quota's keeper says.
+    /// The quota owner's reply.
     #[serde(rename = "w")]
     QuotaWord(QuotaWord),
-    /// Upstreams ended under this request, or one of its runs was answered.
+    /// Reports upstreams that crashed under a request, or a run of it that was answered.
     #[serde(rename = "r")]
     RunReport(RunReport),
-    /// May a request be sent to an upstream that names a limit?
+    /// Asks for a grant to send a request to an upstream with a limit.
     #[serde(rename = "l")]
     LimitQuestion(LimitQuestion),
-    /// What the limit's keeper says.
+    /// The limit owner's reply.
     #[serde(rename = "g")]
     LimitWord(LimitWord),
-    /// An upstream names a limit, or none any more.
+    /// Announces that an upstream has set, changed or removed its limit.
     #[serde(rename = "n")]
     LimitNews(LimitNews),
-    /// An upstream is cold.
+    /// Announces that an upstream is cold.
     #[serde(rename = "k")]
     ColdNews(ColdNews),
 }
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -1,36 +1,36 @@
-//! The names that clients and upstreams use for what the system reads and writes.
+//! Names of the headers, the cookie and the authorization scheme that the system uses.
 
 use http::HeaderName;
 
-/// Header and cookie names. The defaults are the product's own.
+/// Header, cookie and scheme names. The defaults are the product's own.
 #[derive(Clone, Debug)]
 pub struct Dialect {
-    /// Names one try of a client; an upstream's answer repeats it.
+    /// Identifies one attempt of a client; upstreams echo it in their responses.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender will wait.
+    /// How long the sender waits, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// The upstream that a request is meant for.
+    /// The upstream that a request is intended for.
     pub intended_upstream: HeaderName,
-    /// Present in whole answers of upstreams only.
+    /// Present only in complete responses of upstreams.
     pub signature: HeaderName,
-    /// Present in answers of upstreams that did not run the request.
+    /// Present in responses of upstreams that did not run the request.
     pub not_run: HeaderName,
-    /// An upstream's load: running, waiting, slots, with commas between.
+    /// An upstream's load: running, waiting and slots, separated by commas.
     pub load: HeaderName,
-    /// Requests a second that an upstream takes from all boxes together, a decimal number; absent
-    /// where it names no limit.
+    /// Maximum requests per second from all boxes together, as a decimal number; absent if the
+    /// upstream has no limit.
     pub limit: HeaderName,
-    /// `1` in all answers of an upstream that leaves.
+    /// `1` in all responses of an upstream that is leaving.
     pub leaving: HeaderName,
-    /// The upstream that answers, in its health answers.
+    /// The id of the responding upstream, in health responses.
     pub instance: HeaderName,
-    /// How much longer an upstream stays cold, in seconds, in its health answers.
+    /// How much longer an upstream stays cold, in seconds, in health responses.
     pub cold_remaining: HeaderName,
-    /// The cookie that names the object of a request.
+    /// The cookie that identifies the object of a request.
     pub object_cookie: String,
-    /// The scheme with which clients show their key.
+    /// The authorization scheme of clients' keys.
     pub key_scheme: String,
-    /// Tells upstreams the workspace of a request. Clients can't set it.
+    /// The workspace of a request, sent to upstreams. Clients can't set it.
     pub workspace: HeaderName,
 }
 
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -1,7 +1,7 @@
-//! A client's request from its head to its answer: route, service, upstreams, tries.
+//! Handles a client's request from its head to its response: route, service, upstreams, attempts.
 //!
-//! What is known of a request is one of three things: it has not run, it may have run,
-//! or it has an answer. The error that a client is told follows from that alone.
+//! A request is in one of three states: it has not run, it may have run, or it has a response.
+//! The error that the client receives depends on this state alone.
 
 use crate::answer::{error_answer, refusal};
 use crate::asking;
@@ -28,18 +28,18 @@
 use std::sync::atomic::Ordering;
 use tokio::time::{Instant, timeout_at};
 
-/// Bodies up to this length are held whole before an upstream is chosen, so that they can
-/// go to another one if the first doesn't take them.
+/// Bodies up to this length are buffered whole before an upstream is chosen, so that they can be
+/// sent to another upstream if the first one fails.
 const MOST_HELD_BODY: usize = 1024 * 1024;
 
-/// Upstreams that are tried without anything being sent to them.
+/// Attempts per request in which nothing could be sent to the upstream.
 const MOST_UNREACHABLE: u32 = 4;
 
-/// Keepers of upstreams' limits that are asked for one request, one after the other. Each costs a
-/// way there and back, and what one refuses is sent elsewhere without a question next time.
+/// Owners of upstream limits that are asked for one request, one after the other. Each costs a
+/// round trip, and after a refusal the next requests go elsewhere without asking.
 const MOST_LIMITS_ASKED: u32 = 3;
 
-/// Answers one request.
+/// Handles one request and returns its response.
 pub(crate) async fn answer(
     context: &Arc<Context>,
     request: Request<Incoming>,
@@ -111,18 +111,18 @@
     }
 }
 
-/// A request whose route is known.
+/// A request that has matched a route.
 struct Routed<'a> {
     context: &'a Arc<Context>,
     route: &'a Route,
     service: Service,
     parts: &'a Parts,
     facts: RequestFacts<'a>,
-    /// Whose request it is; `None` where no key is needed.
+    /// The client's workspace; `None` if the route needs no key.
     workspace: Option<&'a KnownWorkspace>,
-    /// Whether clients' credentials are for this system.
+    /// Whether the client's credential is meant for this system and is removed before forwarding.
     hides_credential: bool,
-    /// The configuration that the route is of.
+    /// The version of the configuration that the route comes from.
     config: ConfigVersion,
     arrived: Instant,
     answer_by: Deadline,
@@ -172,7 +172,7 @@
     ended
 }
 
-/// The workspace whose key the client shows; `None` where the route needs none.
+/// Returns the workspace that owns the client's key; `None` if the route needs no key.
 fn workspace<'a>(
     context: &Context,
     in_force: &'a InForce,
@@ -190,7 +190,7 @@
     found.map(Some).ok_or(ErrorKind::Unauthenticated)
 }
 
-/// Bytes that a body is counted with while it is held.
+/// Returns the bytes to reserve for buffering a body of the declared length.
 fn facts_length(told: u64) -> usize {
     usize::try_from(told).map_or(MOST_HELD_BODY, |told| told.min(MOST_HELD_BODY))
 }
@@ -221,7 +221,7 @@
         }
     }
 
-    /// Sends the request to upstreams until one answers or it has to be given up.
+    /// Sends the request to upstreams until one responds or no further attempt is allowed.
     async fn send(
         &self,
         held: Held,
@@ -231,8 +231,8 @@
         let mut tries = Tries::new(&held);
         let mut body = Some(self.outgoing_body(held, in_force));
         loop {
-            // A request that comes again is new to the box that it comes to: of 40 repeats each
-            // would reach two upstreams. Upstreams that end under it: 31 to 36 without, 3 or 4 with.
+            // A client repeats a crashing request at other boxes, which haven't seen it before: without
+            // this check 40 repeats crashed 31 to 36 upstreams, with it 3 or 4.
             self.look_up_quarantine(&mut tries)
                 .map_err(|failure| tries.truth(failure))?;
             let chosen = self
@@ -294,7 +294,7 @@
         }
     }
 
-    /// Tells that the upstream's connection ended under the last try.
+    /// Reports to the quarantine that the upstream's connection closed during the last attempt.
     fn tell_broken(&self, tries: &Tries, life: &UpstreamLife) {
         let suspect = self.suspect(tries);
         let digest = self.digest(tries);
@@ -312,7 +312,7 @@
         }
     }
 
-    /// What the request is told by when it comes again.
+    /// Returns the digest that identifies repeats of the request.
     fn digest(&self, tries: &Tries) -> RequestDigest {
         let of = || RequestDigest::of(&self.identity(tries));
         *tries.digest.get_or_init(of)
@@ -326,7 +326,7 @@
         }
     }
 
-    /// Looks up whether upstreams end under the request, here or at other boxes.
+    /// Checks whether the request has been crashing upstreams, here or at other boxes.
     fn look_up_quarantine(&self, tries: &mut Tries) -> Result<(), Failure> {
         let shape = RequestShape::of(&self.identity(tries));
         if !self.context.may_be_quarantined(shape) {
@@ -346,7 +346,7 @@
         }
     }
 
-    /// The upstream of the next try, while there is time for one.
+    /// Chooses the upstream of the next attempt. Fails if the deadline has passed.
     async fn next_upstream(&self, tries: &Tries) -> Result<Chosen, Failure> {
         if self.answer_by.is_over() {
             return Err(ErrorKind::TimeoutBeforeSend.into());
@@ -357,7 +357,7 @@
         self.choose(tries).await
     }
 
-    /// Whether the request may be sent once more after a try that ended with `kind`.
+    /// Whether the request may be sent again after an attempt that failed with `kind`.
     fn may_retry(&self, tries: &Tries, kind: ErrorKind) -> bool {
         let may_run_again = match kind {
             ErrorKind::UpstreamRefused => true,
@@ -407,9 +407,10 @@
         );
     }
 
-    /// Chooses an upstream whose limit leaves room for the request.
-    // An upstream's limit holds for all boxes together, and only its keeper can count that: of a
-    // limit of 5 a second three boxes sent 222 requests in 4 s without its grants, 21 or 22 with.
+    /// Chooses an upstream whose request limit leaves room for the request.
+    // An upstream's limit holds for all boxes together, so the box that owns the limit grants each
+    // request: without grants, three boxes sent 222 requests in 4 s at a limit of 5 per second; with
+    // grants, 21 or 22.
     async fn choose(&self, tries: &Tries) -> Result<Chosen, Failure> {
         let mut asked = 0;
         loop {
@@ -418,17 +419,17 @@
             match self.context.take_grant(chosen, self.answer_by.left()).await {
                 Ok(chosen) => return Ok(chosen),
                 Err(held_off) if asked == MOST_LIMITS_ASKED => return Err(held_off.into()),
-                // The object's next home is chosen now.
+                // The upstream has no room now, so the next iteration chooses the object's next home.
                 Err(_) => {}
             }
         }
     }
 
-    /// Chooses an upstream, whatever limit it names.
+    /// Chooses an upstream without asking for a grant of its request limit.
     async fn choose_unasked(&self, tries: &Tries) -> Result<Chosen, Failure> {
         let tried = tries.upstreams.as_slice();
-        // A suspect goes to a home of its own, so that others about its object are not there
-        // when the upstream ends.
+        // A suspected request is placed by its digest, so that other requests for its object are
+        // not on the upstream that it may crash.
         let placed_as = tries.placed_as.as_ref().map(|digest| digest.as_slice());
         let wanted = Wanted {
             service: &self.service,
@@ -443,7 +444,8 @@
             },
             tried,
         };
-        // A second try is rare, and its upstream is another than the keeper's.
+        // Later attempts are rare and go to another upstream than the one advised first, so they
+        // are placed without asking.
         let (asked, advice) = if tried.is_empty() {
             asking::ask(self.context, &wanted, self.answer_by.left()).await
         } else {
--- a/crates/edge/src/failure.rs
+++ b/crates/edge/src/failure.rs
@@ -1,4 +1,4 @@
-//! What is known of a request's tries, and the failure that follows from it.
+//! The state of a request's attempts, and the failure that results from it.
 
 use crate::body::Held;
 use brasswinch_routing::{Basis, Choice, RequestDigest};
@@ -8,7 +8,7 @@
 use std::sync::OnceLock;
 use tokio::time::Instant;
 
-/// A choice as the log tells it, after the try has taken the choice itself.
+/// The logged fields of a choice, kept after the attempt has taken the choice itself.
 #[derive(Clone)]
 pub(crate) struct Decided {
     pub(crate) upstream: UpstreamId,
@@ -36,7 +36,7 @@
     }
 }
 
-/// A digest in a log line, where there is one.
+/// Displays an optional digest in a log line; `-` if there is none.
 pub(crate) struct Known<'a>(pub(crate) Option<&'a RequestDigest>);
 
 impl fmt::Display for Known<'_> {
@@ -50,26 +50,26 @@
 
 /// Why a request failed.
 pub(crate) enum Failure {
-    /// For a reason that has a fixed answer.
+    /// An error with a fixed response.
     Kind(ErrorKind),
-    /// The same, after it was sent to an upstream.
+    /// An error with a fixed response, after an upstream was chosen.
     AtUpstream {
         kind: ErrorKind,
         decided: Box<Decided>,
-        /// What the request is known by, where an upstream has ended under it.
+        /// The request's digest, if it has been computed for the quarantine.
         digest: Option<RequestDigest>,
     },
-    /// Its workspace has no room in its quota.
+    /// The workspace has used up its quota.
     OverQuota {
         workspace: Workspace,
         retry_after_ms: Millis,
     },
-    /// Upstreams end under it.
+    /// The request is quarantined because it crashes upstreams.
     ShutOut {
         retry_after_ms: Millis,
         digest: RequestDigest,
     },
-    /// For lack of room, with a time to come back.
+    /// All upstreams are at capacity.
     Refused {
         retry_after_ms: u64,
         basis: Box<Basis>,
@@ -93,24 +93,24 @@
     }
 }
 
-/// What is known of a request's tries.
+/// The state of a request's attempts.
 pub(crate) struct Tries {
     pub(crate) upstreams: Vec<UpstreamId>,
-    /// The last of them, and what it was chosen on.
+    /// The last choice and its basis.
     last: Option<Decided>,
-    /// The body, where it is held whole.
+    /// The buffered body: all of it if `can_repeat`, else its beginning.
     pub(crate) whole: Bytes,
     pub(crate) can_repeat: bool,
-    /// Tries in which it was sent.
+    /// Attempts in which the request was sent.
     pub(crate) sent: u32,
-    /// Tries in which nothing was sent.
+    /// Attempts in which nothing was sent.
     pub(crate) unreachable: u32,
     pub(crate) may_have_run: bool,
-    /// When the last of them began.
+    /// When the last attempt began.
     pub(crate) began: Instant,
-    /// What the request is known by when it comes again, once that was needed.
+    /// The digest that identifies repeats of the request; computed when first needed.
     pub(crate) digest: OnceLock<RequestDigest>,
-    /// What it is placed by, in the place of its object, where upstreams ended under it.
+    /// Placement key that replaces the object of a request that is suspected of crashing upstreams.
     pub(crate) placed_as: Option<[u8; 16]>,
 }
 
@@ -130,14 +130,14 @@
         }
     }
 
-    /// Notes the upstream of the next try.
+    /// Records the choice of the next attempt.
     pub(crate) fn begin(&mut self, decided: Decided) {
         self.upstreams.push(decided.upstream.clone());
         self.last = Some(decided);
         self.began = Instant::now();
     }
 
-    /// The failure of the last try, which ended with `kind`.
+    /// Returns the failure of the last attempt, which ended with `kind`.
     pub(crate) fn last_failure(&self, kind: ErrorKind) -> Failure {
         match &self.last {
             Some(decided) => Failure::AtUpstream {
@@ -149,13 +149,14 @@
         }
     }
 
-    /// Counts a try in which the request was sent and that failed.
+    /// Counts a failed attempt in which the request was sent.
     pub(crate) fn count_sent(&mut self, kind: ErrorKind) {
         self.sent += 1;
         self.may_have_run |= kind.answer().ran == Ran::Unknown;
     }
 
-    /// Once a try may have run, no later one makes the answer "not run".
+    /// Corrects the failure that is reported to the client: once an attempt may have run, a later
+    /// failure must not claim that the request has not run.
     pub(crate) fn truth(&self, failure: Failure) -> Failure {
         let claims_not_run = failure.kind().answer().ran == Ran::NotRun;
         if self.may_have_run && claims_not_run {
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/figures.rs
@@ -1,4 +1,4 @@
-//! What the box counts of the requests that it answers, as text that collectors read.
+//! Metrics of the box, in the text format of Prometheus.
 
 use crate::context::Context;
 use brasswinch_observe::{LatencyTable, dropped_lines};
@@ -10,13 +10,13 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::Duration;
 
-/// Most services that are counted by themselves.
+/// Maximum entries per counter map and services per metric.
 const MOST_SERVICES: usize = 256;
 
-/// Most workspaces whose quotas are told by themselves: those that were refused most.
+/// Maximum workspaces with quota metrics of their own; those with most refused requests are kept.
 const MOST_WORKSPACES: usize = 128;
 
-/// Requests by service and outcome, and the latency of those that were answered.
+/// Requests by service and outcome, and the latency of answered requests.
 #[derive(Debug, Default)]
 pub(crate) struct Figures {
     outcomes: Mutex<BTreeMap<(Service, &'static str), u64>>,
@@ -26,7 +26,7 @@
 }
 
 impl Figures {
-    /// Counts a request's end by the code of its error, or as answered.
+    /// Counts a finished request by its outcome: the code of its error, or `answered`.
     pub(crate) fn count(&self, service: &Service, outcome: &'static str) {
         let mut outcomes = self.outcomes.lock().unwrap_or_else(PoisonError::into_inner);
         if outcomes.len() < MOST_SERVICES || outcomes.contains_key(&(service.clone(), outcome)) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Counts a request that an upstream's limit had room for, or had none for.
+    /// Counts a request to an upstream with a limit, by whether the limit had room.
     pub(crate) fn count_limited(&self, service: &Service, had_room: bool) {
         let mut limited = self.limited.lock().unwrap_or_else(PoisonError::into_inner);
         if limited.len() < MOST_SERVICES || limited.contains_key(&(service.clone(), had_room)) {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Counts the latency of an answered request.
+    /// Records the latency of an answered request.
     pub(crate) fn answered(&self, service: &Service, kind: RouteKind, took: Duration) {
         let class = match kind {
             RouteKind::Repeatable => Class::Repeatable,
@@ -87,7 +87,7 @@
 }
 
 impl Context {
-    /// All figures of the box, a line each, in the text form of Prometheus.
+    /// Returns all metrics of the box in the text format of Prometheus.
     pub fn figures_text(&self) -> String {
         let mut text = String::new();
         self.figures.write(&mut text);
@@ -145,7 +145,7 @@
 }
 
 impl Context {
-    /// How many upstreams of each service are in which state.
+    /// Writes the number of upstreams by service and state.
     fn write_upstreams(&self, text: &mut String) {
         let services = self.placement().status(self.clock.now());
         for status in services.into_iter().take(MOST_SERVICES) {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// How many requests are suspected and shut out, by service.
+    /// Writes the number of suspected and blocked requests by service.
     fn write_quarantine(&self, text: &mut String) {
         let mut counts: BTreeMap<(Service, &'static str), u64> = BTreeMap::new();
         for held in self.quarantine_status() {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// The workspaces that were refused most, by what their quota let through and refused.
+    /// Writes the sent and refused requests of the workspaces with most refused requests.
     fn write_quotas(&self, text: &mut String) {
         let mut quotas = self.quota_status();
         quotas.sort_by_key(|quota| std::cmp::Reverse((quota.refused, quota.sent)));
@@ -205,6 +205,6 @@
     } else {
         format!("{{{labels}}}")
     };
-    // Writing to a string doesn't fail.
+    // Writing to a `String` never fails.
     let _ = writeln!(text, "brasswinch_{name}{labels} {value}");
 }
--- a/crates/edge/src/health.rs
+++ b/crates/edge/src/health.rs
@@ -1,7 +1,8 @@
-//! Asks upstreams how they are while the store can't tell.
+//! Health probes of upstreams while the store doesn't respond.
 //!
-//! An upstream may turn cold at any moment. Its entry tells it, and so do its health answers; while
-//! the store is silent only these do. One box asks each upstream and tells the others.
+//! An upstream may turn cold at any time. Its entry in the store reports it, and so do its health
+//! responses; while the store doesn't respond, these are the only source. One box probes each
+//! upstream and notifies the others.
 
 use crate::body::{AnyBody, full, hold};
 use crate::connections::Connection;
@@ -23,62 +24,63 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Between two questions to one upstream: a cold one is sent to as a warm one for as long.
+/// Interval between probes of one upstream. A cold upstream is treated as warm for up to this long.
 const ASK_EVERY: Duration = Duration::from_secs(1);
 
-/// Longest time for an answer. A question waits for a slot as a request does.
+/// Timeout of a probe. Probes wait for a slot of the upstream as requests do.
 const ANSWER_WITHIN: Duration = Duration::from_millis(800);
 
-/// Longest body of an answer, in bytes; it is passed over.
+/// Maximum length of a health response's body, whose content is ignored. A connection with a longer
+/// body isn't reused.
 const MOST_BODY_BYTES: usize = 4_096;
 
-/// Longest rest of a connection that a question may be sent on: one that the upstream closes is
-/// made anew.
+/// Maximum idle time of a connection that a probe may use. After a longer time the upstream may
+/// have closed it, so a new one is established.
 const LONGEST_REST: Duration = Duration::from_secs(3);
 
-/// Questions that a box has under way at once, so that they take little of a small link.
+/// Maximum concurrent probes of a box, so that they use little of a slow link.
 const MOST_AT_ONCE: usize = 16;
 
-/// Until others are told once more that an upstream is cold: a datagram may be lost.
+/// Delay before a cold notice is sent a second time, because a datagram may be lost.
 const TELL_AGAIN: Duration = Duration::from_millis(150);
 
-/// Tells that an upstream is cold.
+/// Notifies other boxes that an upstream is cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ColdNews {
     /// The upstream.
     #[serde(rename = "l")]
     pub life: UpstreamLife,
-    /// For how much longer, in milliseconds.
+    /// How much longer it stays cold, in milliseconds.
     #[serde(rename = "m")]
     pub for_ms: u64,
 }
 
-/// How many questions were asked.
+/// Counts health probes by result.
 #[derive(Debug, Default)]
 pub(crate) struct HealthQuestions {
     pub(crate) answered: AtomicU64,
     pub(crate) unanswered: AtomicU64,
 }
 
-/// Why a question got no answer that can be used.
+/// Why a probe got no usable response.
 #[derive(Debug, thiserror::Error)]
 enum HealthError {
-    #[error("no answer in time")]
+    #[error("the probe timed out")]
     Late,
-    #[error("no connection: {0}")]
+    #[error("connecting failed: {0}")]
     Unreachable(std::io::Error),
-    #[error("the connection broke: {0}")]
+    #[error("the connection failed: {0}")]
     Broken(hyper::Error),
-    #[error("another upstream answers at the address")]
+    #[error("another upstream responded at the address")]
     Another,
 }
 
-/// Asks for as long as the process runs, whenever the store is silent.
+/// Probes upstreams whenever the store doesn't respond, for as long as the process runs.
 pub(crate) async fn ask_while_silent(context: Arc<Context>) {
     context.reached(Lifecycle::Serving).await;
     let serves_from = context.clock.now();
     loop {
-        // Until others confirm a view, nothing has been heard of the store since the start.
+        // Before the first confirmed view, the store has not responded since the start.
         let age_ms = context.view_age_ms(Scope::Upstreams);
         let age_ms = age_ms.unwrap_or_else(|| context.clock.now().saturating_sub(serves_from));
         let silent_ms = context.view_limits.silent_ms();
@@ -90,7 +92,7 @@
     }
 }
 
-/// Asks each upstream that this box asks for all, and waits until they are to be asked again.
+/// Probes each upstream that this box is responsible for, then waits until the next round is due.
 async fn ask_all(context: &Arc<Context>) {
     let due = tokio::time::Instant::now() + ASK_EVERY;
     let mut asking = JoinSet::new();
@@ -104,7 +106,7 @@
     tokio::time::sleep_until(due).await;
 }
 
-/// Asks one upstream, and tells all boxes if it is cold.
+/// Probes one upstream, and notifies all boxes if it is cold.
 async fn ask(context: Arc<Context>, record: UpstreamRecord) {
     let answered = timeout(ANSWER_WITHIN, question(&context, &record)).await;
     let answered = answered.unwrap_or(Err(HealthError::Late));
@@ -127,7 +129,7 @@
     }
 }
 
-/// How long the upstream says that it stays cold; `None` where it is not.
+/// Returns how long the upstream reports to stay cold; `None` if it is warm.
 async fn question(
     context: &Arc<Context>,
     record: &UpstreamRecord,
@@ -161,7 +163,7 @@
     }
 }
 
-/// Keeps the connection for other requests once the answer is whole.
+/// Returns the connection to the pool after a complete response.
 async fn keep(connection: Connection, body: hyper::body::Incoming) {
     if let Ok(held) = hold(body, MOST_BODY_BYTES).await
         && held.is_whole()
@@ -185,7 +187,7 @@
 }
 
 impl Context {
-    /// The upstreams that this box asks now.
+    /// Returns the upstreams that this box has to probe now.
     fn upstreams_to_ask(&self) -> Vec<UpstreamRecord> {
         let in_force = self.in_force.load();
         let Some(in_force) = in_force.as_ref() else {
@@ -219,7 +221,7 @@
         mine.into_iter().filter(is_asked).collect()
     }
 
-    /// Takes that an upstream is cold, and tells all boxes.
+    /// Records that an upstream is cold, and notifies all boxes.
     async fn tell_cold(&self, record: &UpstreamRecord, cold: ColdTime) {
         let news = ColdNews {
             life: record.life(),
@@ -246,7 +248,7 @@
         others.map(|record| record.peer_address).collect()
     }
 
-    /// Takes another box's word that an upstream is cold.
+    /// Handles another box's notice that an upstream is cold.
     pub(crate) fn hear_cold(&self, news: &ColdNews) {
         self.take_cold(news, "peer");
     }
--- a/crates/edge/src/look_up.rs
+++ b/crates/edge/src/look_up.rs
@@ -1,25 +1,25 @@
-//! Answers callers that ask which box to use.
+//! Answers directory look-ups: which boxes a client may use.
 
 use crate::context::Context;
 use brasswinch_routing::{Liveness, MemberRecord, MemberState, NamedBox, named};
 use brasswinch_types::{Region, Zone};
 use std::net::SocketAddr;
 
-/// How long a look-up's answer may be kept, unless the bound is shorter.
+/// How long a client may cache a look-up's answer, unless the configured bound is shorter.
 const LOOKUP_TTL_S: f64 = 2.0;
 
-/// Where a client may go.
+/// The answer to a directory look-up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectoryAnswer {
-    /// Boxes, any of which will do.
+    /// Addresses of boxes, in no order of preference.
     pub addresses: Vec<SocketAddr>,
-    /// How long the answer may be kept, in seconds.
+    /// How long the answer may be cached, in seconds.
     pub ttl_s: f64,
 }
 
 impl Context {
-    /// Where a client of `zone` may go: the serving boxes of its zone or region, or, where
-    /// none is known there, of all.
+    /// Returns boxes for a client of `zone`, chosen from the serving boxes of its region, or of all
+    /// regions if none is known there.
     pub fn directory_answer(&self, zone: &Zone, region: &Region) -> DirectoryAnswer {
         let swim = self.swim();
         let mut all: Vec<&MemberRecord> = swim
@@ -53,7 +53,7 @@
     NamedBox {
         address: record.caller_address,
         zone: record.zone.clone(),
-        // What a box's link carries stands for its size: boxes of more processor have more.
+        // The link's bandwidth stands for the box's size: boxes with more CPU have more bandwidth.
         size: record.link_mbps,
         requests_per_s: record.requests_per_s,
     }
--- a/crates/edge/src/relay/answers.rs
+++ b/crates/edge/src/relay/answers.rs
@@ -1,6 +1,6 @@
-//! Answers to other boxes' questions. When a configuration of thousands of routes changes,
-//! or many boxes start together, all ask the same: a large answer is made once, and few are
-//! sent at a time, since all of them share the box's link.
+//! Replies to other boxes' requests. When a configuration of thousands of routes changes, or many
+//! boxes start together, all request the same. Therefore large replies are cached, and few are sent
+//! at a time because they share the box's link.
 
 use super::transfer::{Packed, TransferError, pack};
 use super::{Question, Reply};
@@ -10,32 +10,32 @@
 use std::sync::{Mutex, PoisonError};
 use tokio::sync::{Semaphore, SemaphorePermit};
 
-/// Answers that are kept. After a change boxes lack one version, or two, or all.
+/// Maximum cached replies. After a change, boxes lack one version, two, or all of them.
 const KEPT_ANSWERS: usize = 4;
 
-/// Answers from this size on are large, in bytes: they are kept, and wait their turn.
+/// Replies of at least this size are large: they are cached, and few are sent at a time.
 const LARGE: usize = 8 * 1024;
 
-/// Large answers that are sent at a time. Eight of 130 kB, which is what 5,000 routes take,
-/// share a link of 10 Mbit/s for 0.9 s.
+/// Maximum large replies that are sent at a time. Eight of 130 kB, the size of 5,000 routes, take
+/// 0.9 s on a link of 10 Mbit/s.
 const LARGE_AT_A_TIME: usize = 8;
 
-/// An answer, and what it was made for.
+/// A cached reply, with the request and the revision that it was encoded for.
 struct Kept {
     question: Question,
-    /// Up to where this box knew the scope.
+    /// This box's newest revision of the scope at that time.
     at: Option<Revision>,
     packed: Packed,
 }
 
-/// An answer that may be sent.
+/// A reply that may be sent now.
 pub(super) struct Answer<'a> {
     pub(super) packed: Packed,
-    /// Held until a large answer was sent.
+    /// Held until a large reply has been sent.
     _turn: Option<SemaphorePermit<'a>>,
 }
 
-/// The last large answers, and the turns of those that are being sent.
+/// Cache of recent large replies, with the limit on how many are sent at a time.
 pub(super) struct AnswerCache {
     kept: Mutex<VecDeque<Kept>>,
     turns: Semaphore,
@@ -51,7 +51,8 @@
 }
 
 impl AnswerCache {
-    /// The answer to `question`: what its asker lacks, or that it has to ask another box.
+    /// Returns the reply to `question`: the missing changes, or a refusal that makes the requesting
+    /// box ask another one.
     pub(super) fn answer(
         &self,
         context: &Context,
@@ -64,7 +65,7 @@
                 _turn: None,
             });
         }
-        // An error means that all turns are taken.
+        // An error means that no permit is available.
         let Ok(turn) = self.turns.try_acquire() else {
             let packed = pack(&Reply::Busy)?;
             return Ok(Answer {
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -1,9 +1,9 @@
-//! Tells other boxes what this one learned from the store, and asks them.
+//! Exchanges changes of the store between boxes.
 //!
-//! A box that hears of a newer revision than its own asks the one that has it: CBOR over
-//! a WebSocket, one question and one answer. How long an answer may take depends on its
-//! size and on the links, which nobody here knows: what is bounded is how long nothing
-//! of it comes.
+//! A box that learns of a newer revision than its own requests the changes from a box that has
+//! them: CBOR over a WebSocket, one request and one reply per connection. How long a reply takes
+//! depends on its size and on the links, which are unknown here, so the timeouts apply mainly to
+//! the time without progress.
 
 mod answers;
 mod transfer;
@@ -23,76 +23,76 @@
 
 pub(crate) use transfer::TransferError;
 
-/// Longest time until a question is sent: the connection, its handshake and the question.
-/// A dead box costs this much.
+/// Timeout for the connection, its handshake and the request together. A dead box delays a catch-up
+/// by this long.
 const ASK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Longest time of a question and its answer together, however steadily the answer comes:
-/// everything that is known, compressed, over a link of 10 Mbit/s that eight others use.
+/// Timeout for a whole reply, even if it makes progress. Allows for the complete state, compressed,
+/// over a link of 10 Mbit/s that is shared with eight other transfers.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Bytes that the library sets aside for each connection.
+/// Size of each connection's read and write buffers.
 const BUFFER_BYTES: usize = 4 * 1024;
 
-/// Bytes that a frame may have beside a piece of a message.
+/// Bytes that a frame may have in addition to a chunk.
 const FRAME_MARGIN: usize = 1024;
 
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A box's question: what comes after what it has.
+/// Requests the changes of a scope after a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct Question {
     scope: Scope,
     after: Option<Revision>,
-    /// The configuration that it holds.
+    /// The configuration that the requesting box has.
     config: Option<ConfigMark>,
 }
 
-/// What a box says to a question.
+/// The reply to a request for changes.
 #[derive(Debug, Serialize, Deserialize)]
 enum Reply {
-    /// What the asker lacks.
+    /// The changes that the requesting box lacks.
     News(CatchUp),
-    /// It has only just started.
+    /// The box has just started and has no data yet.
     KnowsNothing,
-    /// It is sending as many large answers as its link bears.
+    /// The box is already sending the maximum number of large replies.
     Busy,
 }
 
-/// What went wrong with another box.
+/// Why a request to another box failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RelayError {
     /// The connection or the WebSocket failed.
     #[error("the connection failed: {0}")]
     Connection(String),
-    /// A message did not come or go.
+    /// A message could not be sent or received.
     #[error("{0}")]
     Transfer(#[from] TransferError),
-    /// The other box has only just started.
-    #[error("it knows nothing yet")]
+    /// The other box has just started and has no data yet.
+    #[error("the peer has no data yet")]
     KnowsNothing,
-    /// The other box answers many others.
-    #[error("it answers too many others")]
+    /// The other box is already sending the maximum number of large replies.
+    #[error("the peer is busy with other large replies")]
     Busy,
-    /// The connection was not up in time.
-    #[error("no connection in time")]
+    /// The connection, its handshake or the request timed out.
+    #[error("connecting and sending the request timed out")]
     NotConnected,
-    /// The answer was coming and took too long.
-    #[error("the answer was not whole in time")]
+    /// The reply was not complete in time.
+    #[error("the reply timed out")]
     NotWhole,
 }
 
-/// An answer, and what it took.
+/// A reply with its size and duration.
 #[derive(Debug)]
 pub(crate) struct Answered {
     pub(crate) news: CatchUp,
-    /// Its length on the wire.
+    /// Length of the reply on the wire, in bytes.
     pub(crate) bytes: usize,
     pub(crate) took: Duration,
 }
 
-/// Answers other boxes' questions for as long as the process runs.
+/// Serves other boxes' requests for as long as the process runs.
 pub(crate) async fn serve(context: Arc<Context>, listener: TcpListener) {
     let cache = Arc::new(AnswerCache::default());
     loop {
@@ -102,17 +102,17 @@
         };
         let (context, cache) = (Arc::clone(&context), Arc::clone(&cache));
         tokio::spawn(async move {
-            // The asker finds out by itself and asks another box.
+            // On an error the requesting box fails too, and asks another box.
             let _ = timeout(EXCHANGE_TIMEOUT, answer(&context, &cache, stream)).await;
         });
     }
 }
 
-/// Asks the box at `peer` what it has of `scope` that this one lacks.
+/// Requests from the box at `peer` the changes of `scope` that this box lacks.
 ///
 /// # Errors
 ///
-/// Fails where the box is out of reach, falls silent, or knows nothing itself.
+/// Fails if the box can't be reached, stops responding, is busy, or has no data yet.
 pub(crate) async fn ask(
     context: &Context,
     peer: SocketAddr,
@@ -126,7 +126,7 @@
     let (reply, bytes) = timeout(EXCHANGE_TIMEOUT, receive(&mut socket))
         .await
         .map_err(|_| RelayError::NotWhole)??;
-    // Where the close fails, the other box finds out by itself.
+    // A failed close needs no handling: the other box stops waiting by itself.
     let _ = socket.close(None).await;
     let news = match reply {
         Reply::News(news) => news,
--- a/crates/edge/src/relay/transfer.rs
+++ b/crates/edge/src/relay/transfer.rs
@@ -1,5 +1,5 @@
-//! A message between boxes: CBOR, compressed where it is large, in pieces, so that the
-//! one who waits for it sees whether it still comes.
+//! Transfers messages between boxes: CBOR, compressed if large, split into chunks so that the
+//! receiver can detect a stalled transfer.
 
 use flate2::Compression;
 use flate2::read::DeflateDecoder;
@@ -14,56 +14,56 @@
 use tokio_tungstenite::WebSocketStream;
 use tokio_tungstenite::tungstenite::{Bytes, Message as Frame};
 
-/// Bytes of a piece. A link of 10 Mbit/s carries one in 13 ms.
+/// Size of a chunk. A link of 10 Mbit/s transfers one in 13 ms.
 pub(super) const PIECE_BYTES: usize = 16 * 1024;
 
-/// Longest wait for the next piece, or for one to go. Beside eight other transfers over
-/// 10 Mbit/s one takes 0.1 s; the rest is for a busy processor.
+/// Timeout for receiving or sending one chunk. With eight other transfers on a link of 10 Mbit/s a
+/// chunk takes 0.1 s; the rest allows for a busy CPU.
 const PIECE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Longest wait for the other side to close after the last piece went. What the system
-/// still holds of an answer takes a second at most on a link of 10 Mbit/s.
+/// Timeout for the peer to close the connection after the last chunk was sent. The part of a
+/// message that is still in the kernel's buffer takes at most 1 s on a link of 10 Mbit/s.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Messages from this size on are compressed, in bytes. Routes are much alike and shrink
-/// to a tenth; small messages aren't worth the time.
+/// Messages of at least this size are compressed. Routes resemble each other and shrink to a tenth;
+/// for small messages the saving is not worth the CPU time.
 const COMPRESS_FROM: usize = 4 * 1024;
 
-/// Longest message, before compression: everything that is known of the largest fleet.
+/// Maximum size of a message before compression: the complete state of the largest fleet.
 const MOST_MESSAGE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Why a message did not come or go.
+/// Why a message could not be sent or received.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum TransferError {
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Connection(String),
-    /// The message can't be read, or written.
-    #[error("the message can't be read: {0}")]
+    /// The message can't be decoded or encoded.
+    #[error("the message is malformed: {0}")]
     Malformed(String),
-    /// The other side fell silent.
-    #[error("no more came after {received} of {announced} bytes")]
+    /// The peer sent nothing for too long.
+    #[error("the transfer stalled after {received} of {announced} bytes")]
     Silent {
-        /// Bytes that came.
+        /// Bytes received.
         received: usize,
-        /// Bytes that were to come; 0 before anything came.
+        /// Bytes announced by the message's header; 0 before it was received.
         announced: usize,
     },
-    /// A piece could not be sent in time.
-    #[error("the other side took no more")]
+    /// A chunk could not be sent in time.
+    #[error("sending timed out")]
     NotTaken,
 }
 
-/// What comes before a message's pieces.
+/// The header that precedes a message's chunks.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct Head {
-    /// Bytes of all pieces together.
+    /// Total size of all chunks.
     bytes: usize,
-    /// Whether they are compressed (deflate).
+    /// Whether the body is compressed (deflate).
     is_compressed: bool,
 }
 
-/// A message that is ready to be sent, any number of times.
+/// An encoded message that can be sent any number of times.
 #[derive(Clone, Debug)]
 pub(super) struct Packed {
     head: Head,
@@ -71,13 +71,13 @@
 }
 
 impl Packed {
-    /// Bytes on the wire.
+    /// Returns the size of the body on the wire, in bytes.
     pub(super) fn len(&self) -> usize {
         self.body.len()
     }
 }
 
-/// Makes a message ready.
+/// Encodes a message, and compresses it if it is large.
 pub(super) fn pack(message: &impl Serialize) -> Result<Packed, TransferError> {
     let mut plain = Vec::new();
     ciborium::into_writer(message, &mut plain).map_err(malformed)?;
@@ -128,14 +128,14 @@
         .map_err(broken)
 }
 
-/// Receives a message; with it the bytes that it took on the wire.
+/// Receives a message. Returns it with the size of its body on the wire, in bytes.
 pub(super) async fn receive<T: DeserializeOwned>(
     socket: &mut WebSocketStream<TcpStream>,
 ) -> Result<(T, usize), TransferError> {
     let head = next_piece(socket, 0, 0).await?;
     let head: Head = ciborium::from_reader(&head[..]).map_err(malformed)?;
     if head.bytes > MOST_MESSAGE_BYTES {
-        return Err(malformed(format_args!("{} bytes are too many", head.bytes)));
+        return Err(malformed(format_args!("{} bytes exceed the maximum size", head.bytes)));
     }
     let mut body = Vec::new();
     while body.len() < head.bytes {
@@ -145,7 +145,7 @@
     Ok((unpack(&head, &body)?, body.len()))
 }
 
-/// The next piece, where `received` of `announced` bytes have come.
+/// Receives the next chunk, after `received` of `announced` bytes.
 async fn next_piece(
     socket: &mut WebSocketStream<TcpStream>,
     received: usize,
@@ -157,7 +157,7 @@
             received,
             announced,
         })?;
-        let frame = frame.ok_or_else(|| broken("it was closed"))?;
+        let frame = frame.ok_or_else(|| broken("the peer closed it"))?;
         if let Frame::Binary(piece) = frame.map_err(broken)? {
             return Ok(piece);
         }
@@ -168,15 +168,15 @@
     if !head.is_compressed {
         return ciborium::from_reader(body).map_err(malformed);
     }
-    // Read to its end first: a decoder reads it in small pieces, which is slow.
+    // Decompressed as a whole first: the CBOR decoder makes small reads, which are slow.
     let mut plain = Vec::new();
     let mut decoder = DeflateDecoder::new(body).take(MOST_MESSAGE_BYTES as u64);
     decoder.read_to_end(&mut plain).map_err(malformed)?;
     ciborium::from_reader(&plain[..]).map_err(malformed)
 }
 
-/// Waits until the other side closed, so that what was sent isn't cut off. One that doesn't
-/// close is no reason to keep the connection.
+/// Waits until the peer closes the connection, so that the sent message isn't cut off. Gives up
+/// after a timeout.
 pub(super) async fn wait_for_close(socket: &mut WebSocketStream<TcpStream>) {
     let closing = async { while let Some(Ok(_)) = socket.next().await {} };
     let _ = timeout(CLOSE_TIMEOUT, closing).await;
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -1,4 +1,4 @@
-//! What a request's head says.
+//! Reads the head of a request.
 
 use crate::clock::{Clock, Deadline};
 use crate::credentials::shown_key;
@@ -9,10 +9,10 @@
 use http::{HeaderMap, HeaderName, header};
 use std::time::Duration;
 
-/// Time allowed where neither the client nor the route says any.
+/// Timeout of a route that sets none.
 const DEFAULT_TIME: Duration = Duration::from_secs(30);
 
-/// Headers that concern only one connection.
+/// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
     header::CONNECTION,
     HeaderName::from_static("keep-alive"),
@@ -24,24 +24,24 @@
     header::EXPECT,
 ];
 
-/// The parts of a head that decide what happens.
+/// The fields of a head that routing and placement use.
 pub(crate) struct RequestFacts<'a> {
-    /// The host asked for.
+    /// The host from the `Host` header.
     pub(crate) host: &'a str,
     /// The path, without the query.
     pub(crate) path: &'a str,
-    /// The object that it is about.
+    /// The object of the request, from its cookie.
     pub(crate) object: Option<&'a [u8]>,
-    /// How long the client waits, if it says so.
+    /// How long the client waits, if declared.
     pub(crate) deadline: Option<Duration>,
-    /// Length of the body, if told.
+    /// Length of the body in bytes, if declared.
     pub(crate) body_length: Option<u64>,
-    /// The key that the client shows, if it shows one that can be read.
+    /// The client's key, if the head has a well-formed one.
     pub(crate) key: Option<&'a [u8]>,
 }
 
 impl<'a> RequestFacts<'a> {
-    /// Reads a head.
+    /// Reads the fields of a head.
     pub(crate) fn read(parts: &'a Parts, dialect: &Dialect) -> Result<Self, ErrorKind> {
         let host = parts
             .headers
@@ -58,7 +58,7 @@
         })
     }
 
-    /// When the request, which has just arrived, must have its final answer.
+    /// Returns when the request, which has just arrived, must have its final response.
     pub(crate) fn answer_by(&self, clock: &Clock, timeout_s: Option<f64>) -> Deadline {
         let by_route = timeout_s.map_or(DEFAULT_TIME, Duration::from_secs_f64);
         let span = self.deadline.map_or(by_route, |span| span.min(by_route));
@@ -102,13 +102,13 @@
         })
 }
 
-/// The request's id, for the log.
+/// Returns the request's id for the log; `-` if there is none.
 pub(crate) fn request_id<'a>(parts: &'a Parts, dialect: &Dialect) -> &'a str {
     let id = parts.headers.get(&dialect.request_id);
     id.and_then(|id| id.to_str().ok()).unwrap_or("-")
 }
 
-/// A copy of `headers` without those that concern only one connection.
+/// Returns a copy of `headers` without hop-by-hop headers.
 pub(crate) fn end_to_end(headers: &HeaderMap) -> HeaderMap {
     let named: Vec<&str> = headers
         .get_all(header::CONNECTION)
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -1,8 +1,8 @@
-//! Accepts clients.
+//! Accepts client connections.
 //!
-//! On a planned stop the box serves on for a while and ends each connection with its
-//! next answer, so that what has reached the machine is answered. Only then does it
-//! close the listener, after everything in its queue was taken.
+//! On a planned stop the box keeps serving for a while and closes each connection with its next
+//! response, so that requests that have reached the machine are answered. It then accepts the
+//! connections left in the listener's queue and closes the listener.
 
 use crate::context::{Context, Lifecycle};
 use crate::exchange::answer;
@@ -17,23 +17,23 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Pause after a failed accept, so that a full table of files doesn't spin.
+/// Pause after a failed accept. Prevents a busy loop when no file descriptors are left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Rest of a kept connection after which it is closed, where no limit is configured.
+/// Idle time after which a connection is closed if no configuration is in force.
 const LONGEST_IDLE: Duration = Duration::from_secs(60);
 
-/// Added to the idle limit, so that a client that keeps it never meets a closed one.
+/// Added to the idle limit, so that a client that observes the limit never uses a closed connection.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
-/// Longest head that is read before limits are known, in bytes.
+/// Maximum size of a connection's buffer, which bounds the head of a request.
 const LEAST_HEAD_BYTES: usize = 64 * 1024;
 
-/// Time after the box closed in which open connections still bring a request: it was
-/// sent before its client could know.
+/// How long open connections may still bring a request after the box has closed. Such a request
+/// was sent before the client could learn of the close.
 pub(crate) const LAST_REQUESTS: Duration = Duration::from_millis(250);
 
-/// Serves clients until the box is closed, then takes what is left in the queue.
+/// Serves clients until the box is closed, then accepts the connections left in the queue.
 pub(crate) async fn serve(context: Arc<Context>, listener: TcpListener) {
     let mut closed = pin!(context.reached(Lifecycle::Closed));
     loop {
@@ -78,7 +78,7 @@
             .serve_connection(TokioIo::new(stream), service)
     );
     tokio::select! {
-        // A client that breaks off needs no answer.
+        // A client that disconnects needs no response.
         _ = connection.as_mut() => return,
         () = context.reached(Lifecycle::Closed) => {}
     }
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -10,38 +10,38 @@
 /// Where a box listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EdgeAddresses {
-    /// For clients.
+    /// Listens for clients.
     pub clients: SocketAddr,
-    /// For other boxes: datagrams and connections.
+    /// Listens for other boxes: datagrams and connections.
     pub peers: SocketAddr,
 }
 
-/// Bounds that all boxes keep together. Times are in seconds.
+/// Bounds that the whole fleet observes. Times are in seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetBounds {
-    /// Longest time from the request to stop to the end of the process.
+    /// Maximum time from the request to stop until the process ends.
     pub grace_s: f64,
-    /// Longest time in which requests may still reach an upstream that said it leaves.
+    /// Maximum time for which requests may still reach an upstream that announced it is leaving.
     pub drain_s: f64,
-    /// Longest time in which what operators wrote comes into force everywhere.
+    /// Maximum time until a change by operators is in force at all boxes.
     pub config_apply_s: f64,
-    /// Repeats for each request of a service.
+    /// Retries allowed per request of a service.
     pub retry_ratio: f64,
-    /// Repeats in a window, whatever the requests.
+    /// Additional retries allowed per window, regardless of the number of requests.
     pub retry_extra: f64,
-    /// The window that repeats are counted in.
+    /// Window in which retries are counted.
     pub retry_window_s: f64,
-    /// Most of a region's requests that may change their region of execution between a
-    /// window of 2 s and the next.
+    /// Maximum share of a region's requests that may move to another region from one 2 s window to
+    /// the next.
     pub most_shift: f64,
-    /// Longest time that a look-up's answer may be kept.
+    /// Maximum time for which a client may cache a look-up's answer.
     pub longest_lookup_ttl_s: f64,
-    /// Time between two entries of an upstream.
+    /// Interval at which upstreams renew their entries in the store.
     pub upstream_heartbeat_s: f64,
-    /// What workspaces' quotas may be passed by.
+    /// Bounds on how far workspaces may exceed their quotas.
     pub quota: QuotaBounds,
-    /// Longest time for which a box that is out of touch with the store goes on taking keys
-    /// that it knows, in seconds; `None` where it does so for good.
+    /// Maximum time for which a box that has lost contact with the store accepts the keys that it
+    /// knows; `None` for no limit.
     pub longest_unconfirmed_keys_s: Option<f64>,
 }
 
@@ -67,38 +67,37 @@
     }
 }
 
-/// How long the answer of an upstream's keeper is waited for, unless settings say otherwise.
-/// Boxes of a region are about 1 ms apart, there and back; the rest is for a busy processor.
-/// It is lost where the keeper is silent.
+/// Default timeout for the reply of an upstream's owner. The round trip within a region takes about
+/// 1 ms; the rest allows for a busy CPU. A request loses this time if the owner doesn't respond.
 pub const KEEPER_WAIT: Duration = Duration::from_millis(15);
 
 /// Settings of one box.
 #[derive(Clone, Debug)]
 pub struct EdgeSettings {
-    /// The box.
+    /// Id of the box.
     pub id: BoxId,
-    /// Where it stands.
+    /// The box's zone.
     pub zone: Zone,
     /// All zones and their regions.
     pub zones: BTreeMap<Zone, Region>,
-    /// Where it listens.
+    /// Addresses that the box listens on.
     pub addresses: EdgeAddresses,
-    /// Where other boxes may be reached, for a start. May be stale.
+    /// Addresses of other boxes, for joining the fleet. May be stale.
     pub seeds: Vec<SocketAddr>,
     /// Memory that the process may use, in bytes.
     pub memory_bytes: usize,
-    /// What its link carries, in Mbit/s; 0 where that isn't known.
+    /// Bandwidth of the box's link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// How long the answer of an upstream's keeper is waited for.
+    /// Timeout for the reply of an upstream's owner.
     pub keeper_wait: Duration,
-    /// The bounds.
+    /// Bounds of the fleet.
     pub bounds: FleetBounds,
-    /// What it reads the time from.
+    /// The clock of the process.
     pub clock: Clock,
 }
 
 impl EdgeSettings {
-    /// The box's region.
+    /// Returns the box's region; empty if its zone is not in `zones`.
     pub fn region(&self) -> Region {
         let region = self.zones.get(&self.zone).cloned();
         region.unwrap_or_else(|| Region::new(""))
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -1,4 +1,4 @@
-//! What a box believes, for operators: as JSON by `serde`, as text by [`Display`](fmt::Display).
+//! The status of a box for operators: JSON through `serde`, text through [`Display`](fmt::Display).
 
 use crate::context::{Context, Lifecycle, SCOPES};
 use brasswinch_routing::{
@@ -8,69 +8,69 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What a box believes.
+/// The status of a box.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BoxStatus {
-    /// The box.
+    /// Id of the box.
     pub id: BoxId,
-    /// Where it stands.
+    /// Zone of the box.
     pub zone: Zone,
-    /// How far it is on its way from start to stop.
+    /// Stage of the box's lifecycle.
     pub stage: Lifecycle,
-    /// What it does to know of the store's changes.
+    /// How the box learns of changes in the store.
     pub duty: StoreDuty,
-    /// Whether the store answered it when it last asked as one that follows it.
+    /// Whether the store answered when this box last asked it as a follower.
     pub reaches_store: bool,
-    /// The version of the configuration in force; `None` before the first.
+    /// Version of the configuration in force; `None` before the first.
     pub config_version: Option<u64>,
-    /// What it knows of the store.
+    /// The box's views of the store.
     pub views: Vec<ViewStatus>,
-    /// Zones that are to get nothing.
+    /// Zones that receive no requests.
     pub evacuated_zones: Vec<Zone>,
-    /// The upstreams of each service.
+    /// Upstreams by service.
     pub services: Vec<ServiceStatus>,
-    /// What is left of this box's part of each service's budget of repeats.
+    /// This box's remaining retries of each service.
     pub repeats_left: Vec<RepeatsLeft>,
-    /// Whether it knows which box keeps which quota.
+    /// Whether the box knows which box owns which quota.
     pub knows_quota_keepers: bool,
-    /// The quotas of workspaces that sent requests here.
+    /// Quotas of workspaces that sent requests to this box.
     pub quotas: Vec<QuotaStatus>,
-    /// Limits that upstreams name.
+    /// Request limits of upstreams.
     pub limits: Vec<LimitStatus>,
-    /// Requests under which upstreams ended, suspected or shut out.
+    /// Requests that are suspected of crashing upstreams, or blocked for it.
     pub quarantine: Vec<ShutOutStatus>,
-    /// Boxes that share what the whole fleet may do, this one included.
+    /// Number of boxes that share the fleet's limits, including this one.
     pub fleet_size: usize,
-    /// Other boxes that are heard.
+    /// Number of other boxes that are alive.
     pub boxes_heard: usize,
-    /// Other boxes that are not, and were within the last minute.
+    /// Other boxes that stopped responding within the last minute.
     pub boxes_silent: Vec<BoxId>,
 }
 
-/// What a box knows of one part of the store.
+/// A box's view of one scope of the store.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ViewStatus {
-    /// The part.
+    /// The scope.
     pub scope: Scope,
-    /// The last change that it knows; `None` before the first listing.
+    /// Revision of the last known change; `None` before the first listing.
     pub revision: Option<u64>,
-    /// How long ago it knew everything, in milliseconds; `None` before that was ever so.
+    /// Milliseconds since the view was last known to be complete; `None` if it never was.
     pub age_ms: Option<Millis>,
-    /// A later change that others spoke of.
+    /// Revision of a later change that other boxes announced.
     pub awaited: Option<u64>,
 }
 
-/// What is left of a budget of repeats.
+/// What remains of a retry budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RepeatsLeft {
     /// The service.
     pub service: Service,
-    /// Repeats that this box may send now.
+    /// Retries that this box may send now.
     pub left: f64,
 }
 
 impl Context {
-    /// What the box believes now.
+    /// Returns the current status of the box.
     pub fn status(&self) -> BoxStatus {
         let now = self.clock.now();
         let (reaches_store, boxes_heard, boxes_silent) = self.boxes_by_liveness();
@@ -80,7 +80,7 @@
         let evacuated = zones.filter(|zone| fleet.is_evacuated(zone)).cloned();
         let evacuated_zones = evacuated.collect();
         drop(fleet);
-        // Its lock is released before anything else asks for it.
+        // A separate statement: the lock of `placement` is released before the calls below.
         let services = self.placement().status(now);
         BoxStatus {
             id: self.settings.id.clone(),
@@ -132,8 +132,8 @@
             Some(version) => writeln!(f, "configuration: version {version}")?,
             None => writeln!(f, "configuration: none")?,
         }
-        let answers = if self.reaches_store { "" } else { " not" };
-        writeln!(f, "store: does{answers} answer; duty {:?}", self.duty)?;
+        let answers = if self.reaches_store { "reachable" } else { "not reachable" };
+        writeln!(f, "store: {answers}; duty {:?}", self.duty)?;
         self.views.iter().try_for_each(|view| write!(f, "{view}"))?;
         for zone in &self.evacuated_zones {
             writeln!(f, "evacuated: {zone}")?;
@@ -142,7 +142,7 @@
             write_service(f, service)?;
         }
         for budget in &self.repeats_left {
-            writeln!(f, "repeats left: {} {:.1}", budget.service, budget.left)?;
+            writeln!(f, "retries left: {} {:.1}", budget.service, budget.left)?;
         }
         self.quotas
             .iter()
@@ -154,9 +154,9 @@
             .iter()
             .try_for_each(|held| writeln!(f, "request {held}"))?;
         let (size, heard) = (self.fleet_size, self.boxes_heard);
-        writeln!(f, "boxes: {size} share limits; others heard: {heard}")?;
+        writeln!(f, "boxes: {size} share limits; others alive: {heard}")?;
         for silent in &self.boxes_silent {
-            writeln!(f, "box silent: {silent}")?;
+            writeln!(f, "box not responding: {silent}")?;
         }
         Ok(())
     }
@@ -168,9 +168,9 @@
             return writeln!(f, "view of {:?}: none", self.scope);
         };
         write!(f, "view of {:?}: revision {revision}", self.scope)?;
-        write!(f, ", whole {age_ms} ms ago")?;
+        write!(f, ", complete {age_ms} ms ago")?;
         match self.awaited {
-            Some(awaited) => writeln!(f, ", awaits {awaited}"),
+            Some(awaited) => writeln!(f, ", pending revision {awaited}"),
             None => writeln!(f),
         }
     }
--- a/crates/edge/src/upstream_signals.rs
+++ b/crates/edge/src/upstream_signals.rs
@@ -1,5 +1,5 @@
-//! Reads what upstreams say of themselves in the heads of their answers, and passes it on to
-//! what goes by it. Nothing else reads these headers.
+//! Reads the signals that upstreams send about themselves in response headers, and applies them.
+//! Nothing else reads these headers.
 
 use crate::context::Context;
 use crate::dialect::Dialect;
@@ -12,45 +12,45 @@
 use http::response::Parts;
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header};
 
-/// The value by which an upstream says that it leaves.
+/// Header value with which an upstream announces that it is leaving.
 const LEAVES: &str = "1";
 
-/// What an upstream says of itself in the head of an answer.
+/// The signals in the head of an upstream's response.
 #[derive(Debug, Default)]
 pub(crate) struct UpstreamSignals {
-    /// Another upstream has the address now; the rest is not of the one that was meant.
+    /// Another upstream has the address now; all other signals are left out.
     pub(crate) is_misdirected: bool,
-    /// It did not run the request.
+    /// The upstream did not run the request.
     pub(crate) did_not_run: bool,
-    /// It vouches for the answer.
+    /// The response has the signature header.
     pub(crate) is_signed: bool,
-    /// How long it keeps an idle connection, in seconds.
+    /// How long the upstream keeps an idle connection, in seconds.
     pub(crate) idle_limit_s: Option<u64>,
-    /// How much it has to do.
+    /// The upstream's load.
     pub(crate) load: Option<LoadReport>,
-    /// What it says of a limit for all boxes together.
+    /// The upstream's limit for all boxes together.
     pub(crate) limit: LimitSignal,
-    /// It takes nothing new.
+    /// The upstream accepts no new requests.
     pub(crate) is_leaving: bool,
-    /// How long it wants nothing from this box.
+    /// How long this box must send the upstream no requests.
     pub(crate) rest: Option<UpstreamRest>,
-    /// What could not be read.
+    /// Signals that could not be parsed.
     pub(crate) unreadable: Vec<Unreadable>,
 }
 
-/// What an answer says of a limit.
+/// A response's signal about the upstream's limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) enum LimitSignal {
-    /// Nothing: an upstream that did not run the request may leave it out.
+    /// Not present: an unsuccessful response may leave it out.
     #[default]
     Untold,
-    /// There is none.
+    /// The upstream has no limit.
     Unlimited,
-    /// This one.
+    /// The upstream has this limit.
     Limited(UpstreamLimit),
 }
 
-/// Something that an upstream said and that can't be used.
+/// A signal that could not be parsed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Unreadable {
     pub(crate) signal: UpstreamSignal,
@@ -58,7 +58,7 @@
 }
 
 impl UpstreamSignals {
-    /// Reads the head of an answer.
+    /// Reads the signals in the head of a response.
     pub(crate) fn read(answer: &Parts, dialect: &Dialect) -> Self {
         let headers = &answer.headers;
         let is_misdirected = answer.status == StatusCode::MISDIRECTED_REQUEST;
@@ -76,7 +76,7 @@
         signals.limit = signals.limit(answer, &dialect.limit);
         let leaving = leaving(headers, &dialect.leaving);
         signals.is_leaving = signals.keep(UpstreamSignal::Leaving, leaving).is_some();
-        // One that ran the request speaks of that one alone.
+        // If the request ran, `Retry-After` concerns this request, not the upstream.
         let turned_away = signals.did_not_run || answer.status == StatusCode::SERVICE_UNAVAILABLE;
         if turned_away {
             let rest = parsed(headers, &header::RETRY_AFTER);
@@ -85,7 +85,7 @@
         signals
     }
 
-    /// Whether the upstream says that the request has not run there.
+    /// Whether the upstream reports that it did not run the request.
     pub(crate) fn is_refusal(&self) -> bool {
         self.is_misdirected || self.did_not_run
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The signal's value where there is one; notes what can't be read.
+    /// Returns the signal's value if present; records a parse error.
     fn keep<T>(
         &mut self,
         signal: UpstreamSignal,
@@ -116,7 +116,7 @@
 }
 
 impl Context {
-    /// Takes what the chosen upstream says of itself in an answer.
+    /// Applies the signals in a response of the chosen upstream.
     pub(crate) fn hear_signals(&self, choice: &Choice, grant: Grant, signals: &UpstreamSignals) {
         let now = self.clock.now();
         if let Some(report) = signals.load {
@@ -145,7 +145,7 @@
         report_unreadable(upstream, &signals.unreadable);
     }
 
-    /// Takes that an upstream's health answer says of `signal` what can't be meant.
+    /// Records a signal in an upstream's health response that could not be parsed.
     pub(crate) fn hear_unreadable(&self, life: &UpstreamLife, unreadable: Unreadable) {
         if self.placement().health_is_unreadable(life) {
             report_unreadable(&life.upstream, &[unreadable]);
@@ -160,7 +160,7 @@
     }
 }
 
-/// How much longer an upstream says in a health answer that it stays cold.
+/// Returns how much longer an upstream stays cold, from the head of a health response.
 pub(crate) fn cold_time(
     headers: &HeaderMap,
     dialect: &Dialect,
@@ -168,7 +168,7 @@
     parsed(headers, &dialect.cold_remaining)
 }
 
-/// The only value of a header, if it is there.
+/// Returns the value of a header, if present. More than one value is an error.
 fn header_value<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -176,7 +176,7 @@
     only_value(headers.get_all(name).iter().map(HeaderValue::as_bytes))
 }
 
-/// The header as what it stands for.
+/// Parses the value of a header, if present.
 fn parsed<T>(headers: &HeaderMap, name: &HeaderName) -> Result<Option<T>, UpstreamSignalError>
 where
     T: std::str::FromStr<Err = UpstreamSignalError>,
--- a/crates/edge/src/waiters.rs
+++ b/crates/edge/src/waiters.rs
@@ -1,4 +1,4 @@
-//! Who waits for which answer of another box.
+//! Matches replies of other boxes to the requests that wait for them.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,7 +6,7 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// Questions whose answers are waited for, by their numbers.
+/// Requests that wait for a reply, by id.
 #[derive(Debug)]
 pub(crate) struct Waiters<A> {
     by_question: Mutex<HashMap<u64, oneshot::Sender<A>>>,
@@ -27,7 +27,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Begins to wait for the answer to `question`; to be called before it is sent.
+    /// Registers the request `question`. Must be called before it is sent.
     pub(crate) fn wait(&self, question: u64) -> Waiting<'_, A> {
         let (sender, answer) = oneshot::channel();
         self.lock().insert(question, sender);
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Hands an answer over; gives it back where nobody waits for it any more.
+    /// Delivers a reply. Returns it if no task waits for it any more.
     pub(crate) fn answered(&self, question: u64, answer: A) -> Option<A> {
         let Some(waiting) = self.lock().remove(&question) else {
             return Some(answer);
@@ -47,7 +47,7 @@
     }
 }
 
-/// An answer that is waited for; given up when it is dropped.
+/// A reply that is waited for. Dropping it cancels the wait.
 pub(crate) struct Waiting<'a, A> {
     waiters: &'a Waiters<A>,
     question: u64,
@@ -55,7 +55,7 @@
 }
 
 impl<A> Waiting<'_, A> {
-    /// The answer, if it comes within `time`.
+    /// Returns the reply if it arrives within `time`.
     pub(crate) async fn within(mut self, time: Duration) -> Option<A> {
         let answered = timeout(time, &mut self.answer).await;
         answered.ok()?.ok()
