--- a/crates/edge/src/answer.rs
+++ b/crates/edge/src/answer.rs
@@ -7,7 +7,7 @@
 /// Returns the response for an error kind, from the table of errors. The retry time is
 /// randomized between one and two times the table's, so that clients refused together don't
 /// return together.
-pub(crate) fn error_answer(kind: ErrorKind) -> Response<AnyBody> {
+pub(crate) fn error_response(kind: ErrorKind) -> Response<AnyBody> {
     let row = kind.answer();
     let retry_after_ms = match row.retry {
         RetryHint::Never => None,
@@ -17,7 +17,7 @@
 }
 
 /// Returns the response for an error kind with a retry time other than the table's.
-pub(crate) fn refusal(kind: ErrorKind, retry_after_ms: u64) -> Response<AnyBody> {
+pub(crate) fn refusal_response(kind: ErrorKind, retry_after_ms: u64) -> Response<AnyBody> {
     answer(kind, Some(retry_after_ms))
 }
 
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to send a request to one upstream, and its outcome.
 
 use crate::asking::Asked;
-use crate::body::{AnyBody, BodyError, PassLimits, Passed, full, hold};
+use crate::body::{AnyBody, BodyError, StreamLimits, StreamedBody, full, buffer_body};
 use crate::clock::Deadline;
 use crate::connections::Connection;
 use crate::context::Context;
@@ -19,25 +19,25 @@
 use tokio::time::timeout_at;
 
 /// Responses up to this length are buffered whole before the first byte goes to the client.
-const MOST_HELD_ANSWER: usize = 256 * 1024;
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 256 * 1024;
 
 /// Maximum length of a response body.
-const MOST_ANSWER_BYTES: u64 = 1 << 32;
+const MAX_RESPONSE_BYTES: u64 = 1 << 32;
 
 /// Maximum idle time of a connection that may carry a request that must not run twice. If the
 /// upstream closes an idle connection while the request is sent, it is unknown whether it ran.
-const FRESH_REST: Duration = Duration::from_secs(3);
+const MAX_IDLE_ONCE: Duration = Duration::from_secs(3);
 
 /// Maximum idle time of a connection for repeatable requests. The pool applies a shorter limit
 /// of its own.
-const ANY_REST: Duration = Duration::from_secs(3_600);
+const MAX_IDLE_REPEATABLE: Duration = Duration::from_secs(3_600);
 
 /// A request to be sent to an upstream.
 pub(crate) struct Outgoing<'a> {
     pub(crate) parts: &'a http::request::Parts,
     pub(crate) body: OutgoingBody,
     /// When the client must have its response.
-    pub(crate) answer_by: &'a Deadline,
+    pub(crate) deadline: &'a Deadline,
     /// Whether it may run more than once.
     pub(crate) is_repeatable: bool,
     pub(crate) identity: Identity<'a>,
@@ -51,31 +51,31 @@
     /// The workspace that owns the client's key; `None` if the route needs no key.
     pub(crate) workspace: Option<&'a Workspace>,
     /// Whether the client's credential is meant for this system and must not be forwarded.
-    pub(crate) hides_credential: bool,
+    pub(crate) strips_credential: bool,
 }
 
 /// The body of a request to an upstream.
 pub(crate) enum OutgoingBody {
     /// Buffered whole; it can be sent again.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// Streamed from the client; it can't be sent again.
-    Passed(AnyBody),
+    Streamed(AnyBody),
 }
 
 /// The outcome of an attempt.
-pub(crate) enum AttemptEnd {
+pub(crate) enum AttemptOutcome {
     /// The upstream responded. The body is buffered, or streamed if it is long.
-    Answer(Response<AnyBody>),
+    Response(Response<AnyBody>),
     /// The upstream reported that it did not run the request.
     Refused,
     /// Nothing was sent.
     NotSent(OutgoingBody),
     /// The request was sent, and the connection closed before the response was complete.
-    Broken,
+    ConnectionLost,
     /// The request was sent, and the response is invalid.
-    Unusable,
+    InvalidResponse,
     /// The request was sent, and its deadline passed.
-    TimeOver,
+    TimedOut,
 }
 
 /// A chosen upstream, with the placement request and the limit's grant that go with it.
@@ -86,7 +86,7 @@
 }
 
 /// Counts the request at its upstream until it is dropped, and then records the outcome.
-pub(crate) struct Placed {
+pub(crate) struct ActiveAttempt {
     context: Arc<Context>,
     choice: Choice,
     grant: Grant,
@@ -97,7 +97,7 @@
     outcome: UpstreamOutcome,
 }
 
-impl Placed {
+impl ActiveAttempt {
     pub(crate) fn new(context: &Arc<Context>, chosen: Chosen, outgoing: &Outgoing<'_>) -> Self {
         let Chosen {
             choice,
@@ -121,7 +121,7 @@
     }
 }
 
-impl Drop for Placed {
+impl Drop for ActiveAttempt {
     fn drop(&mut self) {
         let now = self.context.clock.now();
         let mut placement = self.context.placement();
@@ -138,51 +138,51 @@
     context: &Arc<Context>,
     chosen: Chosen,
     outgoing: Outgoing<'_>,
-) -> AttemptEnd {
-    let mut placed = Placed::new(context, chosen, &outgoing);
-    let longest_rest = if outgoing.is_repeatable {
-        ANY_REST
+) -> AttemptOutcome {
+    let mut active = ActiveAttempt::new(context, chosen, &outgoing);
+    let max_idle = if outgoing.is_repeatable {
+        MAX_IDLE_REPEATABLE
     } else {
-        FRESH_REST
+        MAX_IDLE_ONCE
     };
-    let upstream = placed.choice.upstream.clone();
+    let upstream = active.choice.upstream.clone();
     let head = Head {
         parts: outgoing.parts,
-        answer_by: outgoing.answer_by,
+        deadline: outgoing.deadline,
         identity: outgoing.identity,
     };
     let mut body = outgoing.body;
-    let mut rested = context.pool.take(&upstream, longest_rest);
+    let mut pooled = context.pool.take(&upstream, max_idle);
     loop {
-        let is_rested = rested.is_some();
-        let connection = match rested.take() {
+        let is_pooled = pooled.is_some();
+        let connection = match pooled.take() {
             Some(connection) => connection,
-            None => match connect(context, &mut placed, outgoing.answer_by).await {
-                Some(connection) if placed.may_send() => connection,
-                _ => return AttemptEnd::NotSent(body),
+            None => match connect(context, &mut active, outgoing.deadline).await {
+                Some(connection) if active.may_send() => connection,
+                _ => return AttemptOutcome::NotSent(body),
             },
         };
-        match exchange(connection, &head, body, &placed).await {
-            Exchanged::Answer(answer, connection) => {
-                return finish(answer, connection, placed, outgoing.answer_by).await;
+        match exchange(connection, &head, body, &active).await {
+            ExchangeOutcome::Response(response, connection) => {
+                return read_response(response, connection, active, outgoing.deadline).await;
             }
             // The upstream closed the idle connection. Connecting anew shows whether it still serves.
-            Exchanged::NotSent(unsent) if is_rested => body = unsent,
-            Exchanged::NotSent(unsent) => {
-                placed.outcome = UpstreamOutcome::Unreachable;
-                return AttemptEnd::NotSent(unsent);
+            ExchangeOutcome::NotSent(unsent) if is_pooled => body = unsent,
+            ExchangeOutcome::NotSent(unsent) => {
+                active.outcome = UpstreamOutcome::Unreachable;
+                return AttemptOutcome::NotSent(unsent);
             }
-            Exchanged::Broken => {
-                placed.outcome = UpstreamOutcome::Unanswered;
-                return AttemptEnd::Broken;
+            ExchangeOutcome::ConnectionLost => {
+                active.outcome = UpstreamOutcome::Unanswered;
+                return AttemptOutcome::ConnectionLost;
             }
-            Exchanged::Unusable => {
-                placed.outcome = UpstreamOutcome::Unanswered;
-                return AttemptEnd::Unusable;
+            ExchangeOutcome::InvalidResponse => {
+                active.outcome = UpstreamOutcome::Unanswered;
+                return AttemptOutcome::InvalidResponse;
             }
-            Exchanged::TimeOver => {
-                placed.outcome = UpstreamOutcome::Unanswered;
-                return AttemptEnd::TimeOver;
+            ExchangeOutcome::TimedOut => {
+                active.outcome = UpstreamOutcome::Unanswered;
+                return AttemptOutcome::TimedOut;
             }
         }
     }
@@ -190,31 +190,31 @@
 
 async fn connect(
     context: &Arc<Context>,
-    placed: &mut Placed,
-    answer_by: &Deadline,
+    active: &mut ActiveAttempt,
+    deadline: &Deadline,
 ) -> Option<Connection> {
-    let choice = &placed.choice;
+    let choice = &active.choice;
     let connecting = context.pool.connect(&choice.upstream, choice.address);
-    let connection = timeout_at(answer_by.timer(), connecting).await.ok()?;
+    let connection = timeout_at(deadline.timer(), connecting).await.ok()?;
     if connection.is_err() {
-        placed.outcome = UpstreamOutcome::Unreachable;
-        context.pool.close(&placed.choice.upstream);
+        active.outcome = UpstreamOutcome::Unreachable;
+        context.pool.close(&active.choice.upstream);
     }
     connection.ok()
 }
 
 struct Head<'a> {
     parts: &'a http::request::Parts,
-    answer_by: &'a Deadline,
+    deadline: &'a Deadline,
     identity: Identity<'a>,
 }
 
-enum Exchanged {
-    Answer(Response<Incoming>, Connection),
+enum ExchangeOutcome {
+    Response(Response<Incoming>, Connection),
     NotSent(OutgoingBody),
-    Broken,
-    Unusable,
-    TimeOver,
+    ConnectionLost,
+    InvalidResponse,
+    TimedOut,
 }
 
 /// Sends the request on a connection and waits for the head of the response.
@@ -222,59 +222,59 @@
     mut connection: Connection,
     head: &Head<'_>,
     body: OutgoingBody,
-    placed: &Placed,
-) -> Exchanged {
+    active: &ActiveAttempt,
+) -> ExchangeOutcome {
     let whole = match &body {
-        OutgoingBody::Whole(bytes) => Some(bytes.clone()),
-        OutgoingBody::Passed(_) => None,
+        OutgoingBody::Buffered(bytes) => Some(bytes.clone()),
+        OutgoingBody::Streamed(_) => None,
     };
-    let request = upstream_request(head, body, placed);
+    let request = upstream_request(head, body, active);
     let sending = connection.sender().try_send_request(request);
-    match timeout_at(head.answer_by.timer(), sending).await {
-        Ok(Ok(answer)) => Exchanged::Answer(answer, connection),
+    match timeout_at(head.deadline.timer(), sending).await {
+        Ok(Ok(response)) => ExchangeOutcome::Response(response, connection),
         Ok(Err(mut failure)) => match (failure.take_message(), whole) {
-            (Some(_), Some(bytes)) => Exchanged::NotSent(OutgoingBody::Whole(bytes)),
-            (Some(request), None) => Exchanged::NotSent(OutgoingBody::Passed(request.into_body())),
+            (Some(_), Some(bytes)) => ExchangeOutcome::NotSent(OutgoingBody::Buffered(bytes)),
+            (Some(request), None) => ExchangeOutcome::NotSent(OutgoingBody::Streamed(request.into_body())),
             // An upstream that sends unparsable bytes has not crashed.
-            (None, _) if failure.error().is_parse() => Exchanged::Unusable,
-            (None, _) => Exchanged::Broken,
+            (None, _) if failure.error().is_parse() => ExchangeOutcome::InvalidResponse,
+            (None, _) => ExchangeOutcome::ConnectionLost,
         },
-        Err(_) => Exchanged::TimeOver,
+        Err(_) => ExchangeOutcome::TimedOut,
     }
 }
 
 /// Builds the upstream's request from the client's: adds the remaining time, the intended
 /// upstream and the workspace's name, and removes the key where it is meant for this system.
-fn upstream_request(head: &Head<'_>, body: OutgoingBody, placed: &Placed) -> Request<AnyBody> {
-    let dialect = &placed.context.dialect;
+fn upstream_request(head: &Head<'_>, body: OutgoingBody, active: &ActiveAttempt) -> Request<AnyBody> {
+    let dialect = &active.context.dialect;
     let mut headers = end_to_end(&head.parts.headers);
     headers.remove(&dialect.workspace);
-    if head.identity.hides_credential {
+    if head.identity.strips_credential {
         headers.remove(header::AUTHORIZATION);
     }
     if let Some(workspace) = head.identity.workspace {
-        headers.insert(&dialect.workspace, header_text(workspace));
+        headers.insert(&dialect.workspace, workspace_header(workspace));
     }
-    let left = head.answer_by.left().as_millis() as u64;
+    let left = head.deadline.left().as_millis() as u64;
     headers.insert(&dialect.deadline_ms, HeaderValue::from(left));
-    if let Ok(id) = HeaderValue::from_str(placed.choice.upstream.as_str()) {
+    if let Ok(id) = HeaderValue::from_str(active.choice.upstream.as_str()) {
         headers.insert(&dialect.intended_upstream, id);
     }
     let body = match body {
-        OutgoingBody::Whole(bytes) => {
+        OutgoingBody::Buffered(bytes) => {
             let has_framing = head.parts.headers.contains_key(header::TRANSFER_ENCODING);
             if has_framing {
                 headers.insert(header::CONTENT_LENGTH, HeaderValue::from(bytes.len()));
             }
             full(bytes)
         }
-        OutgoingBody::Passed(body) => body,
+        OutgoingBody::Streamed(body) => body,
     };
     let mut request = Request::new(body);
     *request.method_mut() = head.parts.method.clone();
-    let place = head.parts.uri.path_and_query();
-    if let Some(place) = place {
-        *request.uri_mut() = http::Uri::from(place.clone());
+    let path_and_query = head.parts.uri.path_and_query();
+    if let Some(path_and_query) = path_and_query {
+        *request.uri_mut() = http::Uri::from(path_and_query.clone());
     }
     *request.headers_mut() = headers;
     request
@@ -282,80 +282,80 @@
 
 /// Returns a workspace's name as a header value. The configuration allows only names that are
 /// valid header values.
-fn header_text(workspace: &Workspace) -> HeaderValue {
+fn workspace_header(workspace: &Workspace) -> HeaderValue {
     HeaderValue::from_str(workspace.as_str()).unwrap_or(HeaderValue::from_static(""))
 }
 
 /// Validates the response, applies its signals, and buffers or streams its body.
-async fn finish(
-    answer: Response<Incoming>,
+async fn read_response(
+    response: Response<Incoming>,
     mut connection: Connection,
-    mut placed: Placed,
-    answer_by: &Deadline,
-) -> AttemptEnd {
-    placed.outcome = UpstreamOutcome::Unanswered;
-    let context = Arc::clone(&placed.context);
-    let (parts, body) = answer.into_parts();
-    if !placed.belongs(&parts.headers) {
-        return AttemptEnd::Unusable;
+    mut active: ActiveAttempt,
+    deadline: &Deadline,
+) -> AttemptOutcome {
+    active.outcome = UpstreamOutcome::Unanswered;
+    let context = Arc::clone(&active.context);
+    let (parts, body) = response.into_parts();
+    if !active.matches_request(&parts.headers) {
+        return AttemptOutcome::InvalidResponse;
     }
     let signals = UpstreamSignals::read(&parts, &context.dialect);
-    placed.hear(&signals);
+    active.apply_signals(&signals);
     if let Some(seconds) = signals.idle_limit_s {
         connection.set_idle_limit(seconds);
     }
     let refused = signals.is_refusal();
     if !refused && parts.status.is_success() && !signals.is_signed {
-        return AttemptEnd::Unusable;
+        return AttemptOutcome::InvalidResponse;
     }
-    let held = match timeout_at(answer_by.timer(), hold(body, MOST_HELD_ANSWER)).await {
-        Ok(Ok(held)) => held,
-        Ok(Err(_)) => return AttemptEnd::Broken,
-        Err(_) => return AttemptEnd::TimeOver,
+    let buffered = match timeout_at(deadline.timer(), buffer_body(body, MAX_BUFFERED_RESPONSE_BYTES)).await {
+        Ok(Ok(buffered)) => buffered,
+        Ok(Err(_)) => return AttemptOutcome::ConnectionLost,
+        Err(_) => return AttemptOutcome::TimedOut,
     };
-    placed.outcome = UpstreamOutcome::Answered;
+    active.outcome = UpstreamOutcome::Answered;
     if refused {
-        placed.outcome = if signals.is_misdirected {
+        active.outcome = if signals.is_misdirected {
             UpstreamOutcome::Replaced
         } else {
             UpstreamOutcome::Shed
         };
-        if held.is_whole() {
+        if buffered.is_complete() {
             connection.reuse();
         }
-        return AttemptEnd::Refused;
+        return AttemptOutcome::Refused;
     }
     let mut headers = end_to_end(&parts.headers);
-    let body = match held.rest {
+    let body = match buffered.rest {
         None => {
             connection.reuse();
-            placed.survived();
+            active.report_completed();
             headers.remove(header::CONTENT_LENGTH);
-            full(held.bytes)
+            full(buffered.bytes)
         }
         Some(rest) => {
-            let limits = PassLimits {
-                most_bytes: MOST_ANSWER_BYTES,
-                until: answer_by.timer(),
+            let limits = StreamLimits {
+                max_bytes: MAX_RESPONSE_BYTES,
+                until: deadline.timer(),
             };
-            let guard = (connection, placed);
-            Passed::new(held.bytes, rest, limits, guard, |(connection, placed)| {
+            let guard = (connection, active);
+            StreamedBody::new(buffered.bytes, rest, limits, guard, |(connection, active)| {
                 connection.reuse();
-                placed.survived();
+                active.report_completed();
             })
             .map_err(|error: BodyError| error)
             .boxed()
         }
     };
-    let mut response = Response::new(body);
-    *response.status_mut() = parts.status;
-    *response.headers_mut() = headers;
-    AttemptEnd::Answer(response)
+    let mut client_response = Response::new(body);
+    *client_response.status_mut() = parts.status;
+    *client_response.headers_mut() = headers;
+    AttemptOutcome::Response(client_response)
 }
 
-impl Placed {
+impl ActiveAttempt {
     /// Reports to the quarantine that the upstream completed its response.
-    fn survived(&self) {
+    fn report_completed(&self) {
         if let Some(digest) = self.digest {
             self.context.run_answered(digest);
         }
@@ -369,18 +369,18 @@
     }
 
     /// Applies the signals in the upstream's response.
-    fn hear(&mut self, signals: &UpstreamSignals) {
-        self.context.hear_signals(&self.choice, self.grant, signals);
+    fn apply_signals(&mut self, signals: &UpstreamSignals) {
+        self.context.apply_upstream_signals(&self.choice, self.grant, signals);
         if let (Some(report), Some(asked)) = (signals.load, &mut self.asked) {
             asked.reported(report);
         }
     }
 
     /// Whether a response belongs to this request: it must repeat the request's id, if there is one.
-    fn belongs(&self, headers: &HeaderMap) -> bool {
+    fn matches_request(&self, headers: &HeaderMap) -> bool {
         let dialect = &self.context.dialect;
         match (&self.request_id, headers.get(&dialect.request_id)) {
-            (Some(sent), Some(answered)) => sent == answered,
+            (Some(sent), Some(echoed)) => sent == echoed,
             (Some(_), None) => false,
             (None, _) => true,
         }
--- a/crates/edge/src/body.rs
+++ b/crates/edge/src/body.rs
@@ -16,13 +16,13 @@
 pub(crate) enum BodyError {
     /// The sender's connection failed.
     #[error("the connection failed before the end of the body: {0}")]
-    Broken(#[from] hyper::Error),
+    ConnectionFailed(#[from] hyper::Error),
     /// The body is longer than allowed.
     #[error("the body exceeds the maximum length")]
     TooLong,
     /// The request's deadline passed.
     #[error("the request's deadline passed before the end of the body")]
-    TimeOver,
+    TimedOut,
 }
 
 /// Returns a body of the given bytes.
@@ -33,34 +33,34 @@
 }
 
 /// A body that is buffered, whole or in part.
-pub(crate) struct Held {
+pub(crate) struct BufferedBody {
     /// The buffered bytes.
     pub(crate) bytes: Bytes,
     /// The remainder, if the body is longer than the limit.
     pub(crate) rest: Option<Incoming>,
 }
 
-impl Held {
+impl BufferedBody {
     /// Whether the whole body is buffered, so that it can be sent again.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn is_complete(&self) -> bool {
         self.rest.is_none()
     }
 }
 
-/// Buffers a body up to `most_held` bytes; a longer one is buffered in part.
-pub(crate) async fn hold(mut body: Incoming, most_held: usize) -> Result<Held, BodyError> {
+/// Buffers a body up to `max_buffered` bytes; a longer one is buffered in part.
+pub(crate) async fn buffer_body(mut body: Incoming, max_buffered: usize) -> Result<BufferedBody, BodyError> {
     let mut pieces = BytesMut::new();
     let mut first: Option<Bytes> = None;
     loop {
-        let held = pieces.len() + first.as_ref().map_or(0, Bytes::len);
-        if held > most_held {
+        let length = pieces.len() + first.as_ref().map_or(0, Bytes::len);
+        if length > max_buffered {
             let bytes = joined(first, pieces);
             let rest = Some(body);
-            return Ok(Held { bytes, rest });
+            return Ok(BufferedBody { bytes, rest });
         }
         let Some(frame) = body.frame().await else {
             let bytes = joined(first, pieces);
-            return Ok(Held { bytes, rest: None });
+            return Ok(BufferedBody { bytes, rest: None });
         };
         let Ok(data) = frame?.into_data() else {
             continue;
@@ -81,54 +81,54 @@
 }
 
 /// A body that is streamed: its buffered beginning, then the remainder as it arrives.
-pub(crate) struct Passed<G> {
-    begun: Option<Bytes>,
+pub(crate) struct StreamedBody<G> {
+    beginning: Option<Bytes>,
     rest: Incoming,
     timer: Pin<Box<Sleep>>,
     /// Bytes that may still arrive.
     allowance: u64,
     /// Kept until the body ends.
     guard: Option<G>,
-    on_whole: Option<fn(G)>,
+    on_complete: Option<fn(G)>,
 }
 
-impl<G> Passed<G> {
-    /// Streams `begun`, then `rest`. `guard` is passed to `on_whole` when the body is complete,
+impl<G> StreamedBody<G> {
+    /// Streams `beginning`, then `rest`. `guard` is passed to `on_complete` when the body is complete,
     /// and dropped if it ends early.
     pub(crate) fn new(
-        begun: Bytes,
+        beginning: Bytes,
         rest: Incoming,
-        limits: PassLimits,
+        limits: StreamLimits,
         guard: G,
-        on_whole: fn(G),
+        on_complete: fn(G),
     ) -> Self {
         Self {
-            allowance: limits.most_bytes.saturating_sub(begun.len() as u64),
-            begun: Some(begun),
+            allowance: limits.max_bytes.saturating_sub(beginning.len() as u64),
+            beginning: Some(beginning),
             rest,
             timer: Box::pin(tokio::time::sleep_until(limits.until)),
             guard: Some(guard),
-            on_whole: Some(on_whole),
+            on_complete: Some(on_complete),
         }
     }
 
     fn end(&mut self) {
-        if let (Some(guard), Some(on_whole)) = (self.guard.take(), self.on_whole.take()) {
-            on_whole(guard);
+        if let (Some(guard), Some(on_complete)) = (self.guard.take(), self.on_complete.take()) {
+            on_complete(guard);
         }
     }
 }
 
 /// Limits of a streamed body.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct PassLimits {
+pub(crate) struct StreamLimits {
     /// Maximum length in bytes.
-    pub(crate) most_bytes: u64,
+    pub(crate) max_bytes: u64,
     /// When the body must be complete.
     pub(crate) until: Instant,
 }
 
-impl<G: Unpin> Body for Passed<G> {
+impl<G: Unpin> Body for StreamedBody<G> {
     type Data = Bytes;
     type Error = BodyError;
 
@@ -136,8 +136,8 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if let Some(begun) = self.begun.take() {
-            return Poll::Ready(Some(Ok(Frame::data(begun))));
+        if let Some(beginning) = self.beginning.take() {
+            return Poll::Ready(Some(Ok(Frame::data(beginning))));
         }
         match Pin::new(&mut self.rest).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
@@ -158,7 +158,7 @@
             }
             Poll::Pending => {
                 if self.timer.as_mut().poll(cx).is_ready() {
-                    return Poll::Ready(Some(Err(BodyError::TimeOver)));
+                    return Poll::Ready(Some(Err(BodyError::TimedOut)));
                 }
                 Poll::Pending
             }
@@ -166,13 +166,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.begun.is_none() && self.rest.is_end_stream()
+        self.beginning.is_none() && self.rest.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
-        let begun = self.begun.as_ref().map_or(0, Bytes::len) as u64;
+        let beginning = self.beginning.as_ref().map_or(0, Bytes::len) as u64;
         match self.rest.size_hint().exact() {
-            Some(rest) => SizeHint::with_exact(rest + begun),
+            Some(rest) => SizeHint::with_exact(rest + beginning),
             None => SizeHint::default(),
         }
     }
--- a/crates/edge/src/clock.rs
+++ b/crates/edge/src/clock.rs
@@ -13,16 +13,16 @@
 /// A clock that counts from its creation.
 #[derive(Clone, Debug)]
 pub struct Clock {
-    began: Duration,
-    steady: Instant,
+    started_at: Duration,
+    monotonic_start: Instant,
     skipped_ms: Arc<AtomicU64>,
 }
 
 impl Default for Clock {
     fn default() -> Self {
         Self {
-            began: since_boot(),
-            steady: Instant::now(),
+            started_at: since_boot(),
+            monotonic_start: Instant::now(),
             skipped_ms: Arc::default(),
         }
     }
@@ -55,8 +55,8 @@
 
     fn elapsed(&self) -> Duration {
         let skipped = Duration::from_millis(self.skipped_ms.load(Ordering::Relaxed));
-        let counted = since_boot().saturating_sub(self.began);
-        counted.max(self.steady.elapsed()) + skipped
+        let since_start = since_boot().saturating_sub(self.started_at);
+        since_start.max(self.monotonic_start.elapsed()) + skipped
     }
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// Whether the deadline has passed.
-    pub(crate) fn is_over(&self) -> bool {
+    pub(crate) fn has_passed(&self) -> bool {
         self.left().is_zero()
     }
 
--- a/crates/edge/src/connections.rs
+++ b/crates/edge/src/connections.rs
@@ -22,28 +22,28 @@
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(700);
 
 /// Idle time after which the kernel sends keepalive probes, and the interval between probes.
-const PROBE_AFTER: Duration = Duration::from_secs(1);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Unacknowledged probes after which the kernel closes a connection.
-const MOST_PROBES: u32 = 2;
+const MAX_KEEPALIVE_PROBES: u32 = 2;
 
 /// Maximum idle connections per upstream.
-const MOST_IDLE: usize = 24;
+const MAX_IDLE_PER_UPSTREAM: usize = 24;
 
 /// Maximum idle time of a connection, unless the upstream announces less.
-const LONGEST_IDLE: Duration = Duration::from_secs(8);
+const MAX_IDLE_TIME: Duration = Duration::from_secs(8);
 
 /// Subtracted from the idle time that an upstream announces, to allow for network delay.
 const IDLE_MARGIN: Duration = Duration::from_millis(1_500);
 
 /// A connection's request sender and the task that drives it. Dropping it closes the connection.
 #[derive(Debug)]
-struct Link {
+struct Transport {
     sender: SendRequest<AnyBody>,
     task: AbortHandle,
 }
 
-impl Drop for Link {
+impl Drop for Transport {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -51,7 +51,7 @@
 
 /// A connection taken from the pool or newly established. Dropping it closes it.
 pub(crate) struct Connection {
-    link: Link,
+    transport: Transport,
     upstream: UpstreamId,
     pool: Arc<ConnectionPool>,
     idle_limit: Duration,
@@ -59,7 +59,7 @@
 
 #[derive(Debug)]
 struct Idle {
-    link: Link,
+    transport: Transport,
     since: Millis,
     limit: Duration,
 }
@@ -82,21 +82,21 @@
         }
     }
 
-    /// Takes the connection that was idle for the shortest time, if at most `longest_rest`.
+    /// Takes the connection that was idle for the shortest time, if at most `max_idle`.
     pub(crate) fn take(
         self: &Arc<Self>,
         upstream: &UpstreamId,
-        longest_rest: Duration,
+        max_idle: Duration,
     ) -> Option<Connection> {
         let mut idle = self.lock();
-        let rested = idle.get_mut(upstream)?;
-        while let Some(last) = rested.pop() {
-            let rest = self.rest(&last);
-            if rest > longest_rest.min(last.limit) || !last.link.sender.is_ready() {
+        let pooled = idle.get_mut(upstream)?;
+        while let Some(last) = pooled.pop() {
+            let idle_time = self.idle_time(&last);
+            if idle_time > max_idle.min(last.limit) || !last.transport.sender.is_ready() {
                 continue;
             }
             return Some(Connection {
-                link: last.link,
+                transport: last.transport,
                 upstream: upstream.clone(),
                 pool: Arc::clone(self),
                 idle_limit: last.limit,
@@ -124,13 +124,13 @@
             let _ = connection.await;
         });
         Ok(Connection {
-            link: Link {
+            transport: Transport {
                 sender,
                 task: task.abort_handle(),
             },
             upstream: upstream.clone(),
             pool: Arc::clone(self),
-            idle_limit: LONGEST_IDLE,
+            idle_limit: MAX_IDLE_TIME,
         })
     }
 
@@ -144,9 +144,9 @@
         let options = SockRef::from(&socket);
         options.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))?;
         let keepalive = TcpKeepalive::new()
-            .with_time(PROBE_AFTER)
-            .with_interval(PROBE_AFTER)
-            .with_retries(MOST_PROBES);
+            .with_time(KEEPALIVE_INTERVAL)
+            .with_interval(KEEPALIVE_INTERVAL)
+            .with_retries(MAX_KEEPALIVE_PROBES);
         options.set_tcp_keepalive(&keepalive)?;
         let stream = socket.connect(address).await?;
         stream.set_nodelay(true)?;
@@ -156,9 +156,9 @@
     /// Closes connections past their idle limit, and all connections to upstreams that are unknown.
     pub(crate) fn sweep(&self, is_known: impl Fn(&UpstreamId) -> bool) {
         let mut idle = self.lock();
-        idle.retain(|upstream, rested| {
-            rested.retain(|idle| self.rest(idle) < idle.limit);
-            !rested.is_empty() && is_known(upstream)
+        idle.retain(|upstream, pooled| {
+            pooled.retain(|idle| self.idle_time(idle) < idle.limit);
+            !pooled.is_empty() && is_known(upstream)
         });
     }
 
@@ -168,17 +168,17 @@
     }
 
     /// Returns how long a connection has been idle.
-    fn rest(&self, idle: &Idle) -> Duration {
+    fn idle_time(&self, idle: &Idle) -> Duration {
         Duration::from_millis(self.clock.now().saturating_sub(idle.since))
     }
 
-    fn keep(&self, upstream: &UpstreamId, idle: Idle) {
+    fn put(&self, upstream: &UpstreamId, idle: Idle) {
         let mut all = self.lock();
-        let rested = all.entry(upstream.clone()).or_default();
-        if rested.len() >= MOST_IDLE {
-            rested.remove(0);
+        let pooled = all.entry(upstream.clone()).or_default();
+        if pooled.len() >= MAX_IDLE_PER_UPSTREAM {
+            pooled.remove(0);
         }
-        rested.push(idle);
+        pooled.push(idle);
     }
 
     fn lock(&self) -> MutexGuard<'_, HashMap<UpstreamId, Vec<Idle>>> {
@@ -189,25 +189,25 @@
 impl Connection {
     /// Returns the sender of requests.
     pub(crate) fn sender(&mut self) -> &mut SendRequest<AnyBody> {
-        &mut self.link.sender
+        &mut self.transport.sender
     }
 
     /// Applies the idle timeout that the upstream announces, in seconds.
     pub(crate) fn set_idle_limit(&mut self, seconds: u64) {
-        let told = Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN);
-        self.idle_limit = told.min(LONGEST_IDLE);
+        let announced = Duration::from_secs(seconds).saturating_sub(IDLE_MARGIN);
+        self.idle_limit = announced.min(MAX_IDLE_TIME);
     }
 
     /// Returns the connection to the pool, unless it is closed.
     pub(crate) fn reuse(self) {
-        if self.link.sender.is_closed() || self.idle_limit.is_zero() {
+        if self.transport.sender.is_closed() || self.idle_limit.is_zero() {
             return;
         }
         let idle = Idle {
-            link: self.link,
+            transport: self.transport,
             since: self.pool.clock.now(),
             limit: self.idle_limit,
         };
-        self.pool.keep(&self.upstream, idle);
+        self.pool.put(&self.upstream, idle);
     }
 }
--- a/crates/edge/src/counted.rs
+++ b/crates/edge/src/counted.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::Ordering;
 
 /// Divisor of the allowed memory: buffered bodies may take one such part.
-const HELD_PART_OF_MEMORY: usize = 4;
+const BUFFER_MEMORY_DIVISOR: usize = 4;
 
 /// Counts a request while it is in flight.
 pub(crate) struct InFlight<'a>(&'a Context);
@@ -23,21 +23,21 @@
 }
 
 /// Counts the bytes of a body while it is buffered.
-pub(crate) struct HeldBytes<'a> {
+pub(crate) struct BufferedBytes<'a> {
     context: &'a Context,
     bytes: usize,
 }
 
-impl<'a> HeldBytes<'a> {
+impl<'a> BufferedBytes<'a> {
     pub(crate) fn reserve(context: &'a Context, bytes: usize) -> Option<Self> {
-        let most = context.settings.memory_bytes / HELD_PART_OF_MEMORY;
+        let max_bytes = context.settings.memory_bytes / BUFFER_MEMORY_DIVISOR;
         let before = context.held_bytes.fetch_add(bytes, Ordering::Relaxed);
-        let held = Self { context, bytes };
-        (before + bytes <= most).then_some(held)
+        let reservation = Self { context, bytes };
+        (before + bytes <= max_bytes).then_some(reservation)
     }
 }
 
-impl Drop for HeldBytes<'_> {
+impl Drop for BufferedBytes<'_> {
     fn drop(&mut self) {
         self.context
             .held_bytes
--- a/crates/edge/src/failure.rs
+++ b/crates/edge/src/failure.rs
@@ -1,6 +1,6 @@
 //! The state of a request's attempts, and the failure that results from it.
 
-use crate::body::Held;
+use crate::body::BufferedBody;
 use brasswinch_routing::{Basis, Choice, RequestDigest};
 use brasswinch_types::{ErrorKind, Millis, Ran, UpstreamId, Workspace};
 use bytes::Bytes;
@@ -10,13 +10,13 @@
 
 /// The logged fields of a choice, kept after the attempt has taken the choice itself.
 #[derive(Clone)]
-pub(crate) struct Decided {
+pub(crate) struct LoggedChoice {
     pub(crate) upstream: UpstreamId,
     basis: Basis,
     lost_ms: Option<Millis>,
 }
 
-impl Decided {
+impl LoggedChoice {
     pub(crate) fn new(choice: &Choice) -> Self {
         Self {
             upstream: choice.upstream.clone(),
@@ -26,7 +26,7 @@
     }
 }
 
-impl fmt::Display for Decided {
+impl fmt::Display for LoggedChoice {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "upstream={} {}", self.upstream, self.basis)?;
         match self.lost_ms {
@@ -37,9 +37,9 @@
 }
 
 /// Displays an optional digest in a log line; `-` if there is none.
-pub(crate) struct Known<'a>(pub(crate) Option<&'a RequestDigest>);
+pub(crate) struct OptionalDigest<'a>(pub(crate) Option<&'a RequestDigest>);
 
-impl fmt::Display for Known<'_> {
+impl fmt::Display for OptionalDigest<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(digest) => write!(f, "{digest}"),
@@ -55,7 +55,7 @@
     /// An error with a fixed response, after an upstream was chosen.
     AtUpstream {
         kind: ErrorKind,
-        decided: Box<Decided>,
+        logged_choice: Box<LoggedChoice>,
         /// The request's digest, if it has been computed for the quarantine.
         digest: Option<RequestDigest>,
     },
@@ -94,13 +94,13 @@
 }
 
 /// The state of a request's attempts.
-pub(crate) struct Tries {
+pub(crate) struct Attempts {
     pub(crate) upstreams: Vec<UpstreamId>,
     /// The last choice and its basis.
-    last: Option<Decided>,
-    /// The buffered body: all of it if `can_repeat`, else its beginning.
-    pub(crate) whole: Bytes,
-    pub(crate) can_repeat: bool,
+    last: Option<LoggedChoice>,
+    /// The buffered body: all of it if `can_resend`, else its beginning.
+    pub(crate) buffered_body: Bytes,
+    pub(crate) can_resend: bool,
     /// Attempts in which the request was sent.
     pub(crate) sent: u32,
     /// Attempts in which nothing was sent.
@@ -111,38 +111,38 @@
     /// The digest that identifies repeats of the request; computed when first needed.
     pub(crate) digest: OnceLock<RequestDigest>,
     /// Placement key that replaces the object of a request that is suspected of crashing upstreams.
-    pub(crate) placed_as: Option<[u8; 16]>,
+    pub(crate) placement_key: Option<[u8; 16]>,
 }
 
-impl Tries {
-    pub(crate) fn new(held: &Held) -> Self {
+impl Attempts {
+    pub(crate) fn new(buffered: &BufferedBody) -> Self {
         Self {
             upstreams: Vec::new(),
             last: None,
-            whole: held.bytes.clone(),
-            can_repeat: held.is_whole(),
+            buffered_body: buffered.bytes.clone(),
+            can_resend: buffered.is_complete(),
             sent: 0,
             unreachable: 0,
             may_have_run: false,
             began: Instant::now(),
             digest: OnceLock::new(),
-            placed_as: None,
+            placement_key: None,
         }
     }
 
     /// Records the choice of the next attempt.
-    pub(crate) fn begin(&mut self, decided: Decided) {
-        self.upstreams.push(decided.upstream.clone());
-        self.last = Some(decided);
+    pub(crate) fn begin(&mut self, logged_choice: LoggedChoice) {
+        self.upstreams.push(logged_choice.upstream.clone());
+        self.last = Some(logged_choice);
         self.began = Instant::now();
     }
 
     /// Returns the failure of the last attempt, which ended with `kind`.
     pub(crate) fn last_failure(&self, kind: ErrorKind) -> Failure {
         match &self.last {
-            Some(decided) => Failure::AtUpstream {
+            Some(logged_choice) => Failure::AtUpstream {
                 kind,
-                decided: Box::new(decided.clone()),
+                logged_choice: Box::new(logged_choice.clone()),
                 digest: self.digest.get().copied(),
             },
             None => kind.into(),
@@ -157,7 +157,7 @@
 
     /// Corrects the failure that is reported to the client: once an attempt may have run, a later
     /// failure must not claim that the request has not run.
-    pub(crate) fn truth(&self, failure: Failure) -> Failure {
+    pub(crate) fn corrected_failure(&self, failure: Failure) -> Failure {
         let claims_not_run = failure.kind().answer().ran == Ran::NotRun;
         if self.may_have_run && claims_not_run {
             self.last_failure(ErrorKind::UpstreamBroken)
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/figures.rs
@@ -11,10 +11,10 @@
 use std::time::Duration;
 
 /// Maximum entries per counter map and services per metric.
-const MOST_SERVICES: usize = 256;
+const MAX_SERVICES: usize = 256;
 
 /// Maximum workspaces with quota metrics of their own; those with most refused requests are kept.
-const MOST_WORKSPACES: usize = 128;
+const MAX_WORKSPACES: usize = 128;
 
 /// Requests by service and outcome, and the latency of answered requests.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
     /// Counts a finished request by its outcome: the code of its error, or `answered`.
     pub(crate) fn count(&self, service: &Service, outcome: &'static str) {
         let mut outcomes = self.outcomes.lock().unwrap_or_else(PoisonError::into_inner);
-        if outcomes.len() < MOST_SERVICES || outcomes.contains_key(&(service.clone(), outcome)) {
+        if outcomes.len() < MAX_SERVICES || outcomes.contains_key(&(service.clone(), outcome)) {
             *outcomes.entry((service.clone(), outcome)).or_default() += 1;
         }
     }
@@ -37,7 +37,7 @@
     /// Counts a request to an upstream with a limit, by whether the limit had room.
     pub(crate) fn count_limited(&self, service: &Service, had_room: bool) {
         let mut limited = self.limited.lock().unwrap_or_else(PoisonError::into_inner);
-        if limited.len() < MOST_SERVICES || limited.contains_key(&(service.clone(), had_room)) {
+        if limited.len() < MAX_SERVICES || limited.contains_key(&(service.clone(), had_room)) {
             *limited.entry((service.clone(), had_room)).or_default() += 1;
         }
     }
@@ -119,10 +119,10 @@
                 line(&mut text, "view_age_seconds", &labels, age_ms as f64 / 1e3);
             }
         }
-        let questions = &self.health_questions;
+        let probes = &self.health_questions;
         for (outcome, count) in [
-            ("answered", &questions.answered),
-            ("unanswered", &questions.unanswered),
+            ("answered", &probes.answered),
+            ("unanswered", &probes.unanswered),
         ] {
             let labels = format!("outcome=\"{outcome}\"");
             let count = count.load(Ordering::Relaxed) as f64;
@@ -148,7 +148,7 @@
     /// Writes the number of upstreams by service and state.
     fn write_upstreams(&self, text: &mut String) {
         let services = self.placement().status(self.clock.now());
-        for status in services.into_iter().take(MOST_SERVICES) {
+        for status in services.into_iter().take(MAX_SERVICES) {
             let service = &status.service;
             let states = [
                 ("usable", status.usable),
@@ -178,7 +178,7 @@
             };
             *counts.entry((held.service, state)).or_default() += 1;
         }
-        for ((service, state), count) in counts.into_iter().take(MOST_SERVICES) {
+        for ((service, state), count) in counts.into_iter().take(MAX_SERVICES) {
             let labels = format!("service=\"{service}\",state=\"{state}\"");
             line(text, "quarantined_requests", &labels, count as f64);
         }
@@ -188,7 +188,7 @@
     fn write_quotas(&self, text: &mut String) {
         let mut quotas = self.quota_status();
         quotas.sort_by_key(|quota| std::cmp::Reverse((quota.refused, quota.sent)));
-        quotas.truncate(MOST_WORKSPACES);
+        quotas.truncate(MAX_WORKSPACES);
         for quota in quotas {
             for (outcome, count) in [("sent", quota.sent), ("refused", quota.refused)] {
                 let workspace = &quota.workspace;
--- a/crates/edge/src/health.rs
+++ b/crates/edge/src/health.rs
@@ -4,11 +4,11 @@
 //! responses; while the store doesn't respond, these are the only source. One box probes each
 //! upstream and notifies the others.
 
-use crate::body::{AnyBody, full, hold};
+use crate::body::{AnyBody, full, buffer_body};
 use crate::connections::Connection;
 use crate::context::{Context, Lifecycle};
 use crate::datagram::Datagram;
-use crate::upstream_signals::{Unreadable, cold_time};
+use crate::upstream_signals::{InvalidSignal, cold_time};
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
     HealthAsker, HealthAskers, Scope, UpstreamLife, UpstreamRecord, UpstreamState,
@@ -25,24 +25,24 @@
 use tokio::time::{sleep, timeout};
 
 /// Interval between probes of one upstream. A cold upstream is treated as warm for up to this long.
-const ASK_EVERY: Duration = Duration::from_secs(1);
+const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Timeout of a probe. Probes wait for a slot of the upstream as requests do.
-const ANSWER_WITHIN: Duration = Duration::from_millis(800);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Maximum length of a health response's body, whose content is ignored. A connection with a longer
 /// body isn't reused.
-const MOST_BODY_BYTES: usize = 4_096;
+const MAX_BODY_BYTES: usize = 4_096;
 
 /// Maximum idle time of a connection that a probe may use. After a longer time the upstream may
 /// have closed it, so a new one is established.
-const LONGEST_REST: Duration = Duration::from_secs(3);
+const MAX_PROBE_IDLE_TIME: Duration = Duration::from_secs(3);
 
 /// Maximum concurrent probes of a box, so that they use little of a slow link.
-const MOST_AT_ONCE: usize = 16;
+const MAX_CONCURRENT_PROBES: usize = 16;
 
 /// Delay before a cold notice is sent a second time, because a datagram may be lost.
-const TELL_AGAIN: Duration = Duration::from_millis(150);
+const RESEND_DELAY: Duration = Duration::from_millis(150);
 
 /// Notifies other boxes that an upstream is cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -66,13 +66,13 @@
 #[derive(Debug, thiserror::Error)]
 enum HealthError {
     #[error("the probe timed out")]
-    Late,
+    TimedOut,
     #[error("connecting failed: {0}")]
     Unreachable(std::io::Error),
     #[error("the connection failed: {0}")]
-    Broken(hyper::Error),
+    ConnectionFailed(hyper::Error),
     #[error("another upstream responded at the address")]
-    Another,
+    WrongUpstream,
 }
 
 /// Probes upstreams whenever the store doesn't respond, for as long as the process runs.
@@ -88,38 +88,38 @@
             sleep(Duration::from_millis(silent_ms - age_ms)).await;
             continue;
         }
-        ask_all(&context).await;
+        probe_all(&context).await;
     }
 }
 
 /// Probes each upstream that this box is responsible for, then waits until the next round is due.
-async fn ask_all(context: &Arc<Context>) {
-    let due = tokio::time::Instant::now() + ASK_EVERY;
-    let mut asking = JoinSet::new();
-    for record in context.upstreams_to_ask() {
-        if asking.len() >= MOST_AT_ONCE {
-            asking.join_next().await;
+async fn probe_all(context: &Arc<Context>) {
+    let due = tokio::time::Instant::now() + PROBE_INTERVAL;
+    let mut probes = JoinSet::new();
+    for record in context.upstreams_to_probe() {
+        if probes.len() >= MAX_CONCURRENT_PROBES {
+            probes.join_next().await;
         }
-        asking.spawn(ask(Arc::clone(context), record));
+        probes.spawn(probe(Arc::clone(context), record));
     }
-    while asking.join_next().await.is_some() {}
+    while probes.join_next().await.is_some() {}
     tokio::time::sleep_until(due).await;
 }
 
 /// Probes one upstream, and notifies all boxes if it is cold.
-async fn ask(context: Arc<Context>, record: UpstreamRecord) {
-    let answered = timeout(ANSWER_WITHIN, question(&context, &record)).await;
-    let answered = answered.unwrap_or(Err(HealthError::Late));
-    let questions = &context.health_questions;
-    match answered {
+async fn probe(context: Arc<Context>, record: UpstreamRecord) {
+    let result = timeout(PROBE_TIMEOUT, request_health(&context, &record)).await;
+    let result = result.unwrap_or(Err(HealthError::TimedOut));
+    let counts = &context.health_questions;
+    match result {
         Ok(cold) => {
-            questions.answered.fetch_add(1, Ordering::Relaxed);
+            counts.answered.fetch_add(1, Ordering::Relaxed);
             if let Some(cold) = cold {
-                context.tell_cold(&record, cold).await;
+                context.announce_cold(&record, cold).await;
             }
         }
         Err(error) => {
-            questions.unanswered.fetch_add(1, Ordering::Relaxed);
+            counts.unanswered.fetch_add(1, Ordering::Relaxed);
             let upstream = &record.id;
             emit(
                 Event::HealthUnanswered,
@@ -130,13 +130,13 @@
 }
 
 /// Returns how long the upstream reports to stay cold; `None` if it is warm.
-async fn question(
+async fn request_health(
     context: &Arc<Context>,
     record: &UpstreamRecord,
 ) -> Result<Option<ColdTime>, HealthError> {
     let pool = &context.pool;
-    let rested = pool.take(&record.id, LONGEST_REST);
-    let mut connection = match rested {
+    let pooled = pool.take(&record.id, MAX_PROBE_IDLE_TIME);
+    let mut connection = match pooled {
         Some(connection) => connection,
         None => pool
             .connect(&record.id, record.address)
@@ -145,28 +145,28 @@
     };
     let request = health_request(context, record);
     let sending = connection.sender().send_request(request);
-    let answer = sending.await.map_err(HealthError::Broken)?;
-    let (parts, body) = answer.into_parts();
+    let response = sending.await.map_err(HealthError::ConnectionFailed)?;
+    let (parts, body) = response.into_parts();
     let instance = parts.headers.get(&context.dialect.instance);
-    let names_itself = |value: &HeaderValue| value.as_bytes() == record.id.as_str().as_bytes();
-    if !instance.is_some_and(names_itself) {
-        return Err(HealthError::Another);
+    let is_meant_upstream = |value: &HeaderValue| value.as_bytes() == record.id.as_str().as_bytes();
+    if !instance.is_some_and(is_meant_upstream) {
+        return Err(HealthError::WrongUpstream);
     }
-    keep(connection, body).await;
+    return_to_pool(connection, body).await;
     match cold_time(&parts.headers, &context.dialect) {
         Ok(cold) => Ok(cold.filter(|cold| cold.ms() > 0)),
         Err(error) => {
             let signal = UpstreamSignal::Cold;
-            context.hear_unreadable(&record.life(), Unreadable { signal, error });
+            context.record_invalid_signal(&record.life(), InvalidSignal { signal, error });
             Ok(None)
         }
     }
 }
 
 /// Returns the connection to the pool after a complete response.
-async fn keep(connection: Connection, body: hyper::body::Incoming) {
-    if let Ok(held) = hold(body, MOST_BODY_BYTES).await
-        && held.is_whole()
+async fn return_to_pool(connection: Connection, body: hyper::body::Incoming) {
+    if let Ok(buffered) = buffer_body(body, MAX_BODY_BYTES).await
+        && buffered.is_complete()
     {
         connection.reuse();
     }
@@ -177,7 +177,7 @@
     let in_force = context.in_force.load();
     let service = in_force
         .as_ref()
-        .and_then(|held| held.config.services.get(&record.service));
+        .and_then(|in_force| in_force.config.services.get(&record.service));
     let path = service.and_then(|service| service.health_path.parse().ok());
     *request.uri_mut() = path.unwrap_or_default();
     if let Ok(host) = HeaderValue::from_str(&record.address.to_string()) {
@@ -188,7 +188,7 @@
 
 impl Context {
     /// Returns the upstreams that this box has to probe now.
-    fn upstreams_to_ask(&self) -> Vec<UpstreamRecord> {
+    fn upstreams_to_probe(&self) -> Vec<UpstreamRecord> {
         let in_force = self.in_force.load();
         let Some(in_force) = in_force.as_ref() else {
             return Vec::new();
@@ -197,7 +197,7 @@
             let service = in_force.config.services.get(&record.service);
             service.is_some_and(|service| !service.health_path.is_empty())
         };
-        let askers: Vec<HealthAsker> = self
+        let probers: Vec<HealthAsker> = self
             .swim()
             .serving_boxes()
             .map(|record| HealthAsker {
@@ -206,32 +206,32 @@
             })
             .collect();
         let zones = &self.settings.zones;
-        let askers = HealthAskers::new(&self.settings.id, zones, askers.into_iter());
+        let probers = HealthAskers::new(&self.settings.id, zones, probers.into_iter());
         let mine: Vec<UpstreamRecord> = self
             .fleet()
             .upstreams()
             .map(|(record, _)| record)
             .filter(|record| record.state == UpstreamState::Ready && has_path(record))
-            .filter(|record| askers.asks(record))
+            .filter(|record| probers.asks(record))
             .cloned()
             .collect();
         let now = self.clock.now();
         let placement = self.placement();
-        let is_asked = |record: &UpstreamRecord| !placement.is_cold(&record.life(), now);
-        mine.into_iter().filter(is_asked).collect()
+        let needs_probe = |record: &UpstreamRecord| !placement.is_cold(&record.life(), now);
+        mine.into_iter().filter(needs_probe).collect()
     }
 
     /// Records that an upstream is cold, and notifies all boxes.
-    async fn tell_cold(&self, record: &UpstreamRecord, cold: ColdTime) {
-        let news = ColdNews {
+    async fn announce_cold(&self, record: &UpstreamRecord, cold: ColdTime) {
+        let notice = ColdNews {
             life: record.life(),
             for_ms: cold.ms(),
         };
-        self.take_cold(&news, "health");
+        self.record_cold(&notice, "health");
         let boxes = self.serving_addresses();
-        let datagram = Datagram::ColdNews(news);
+        let datagram = Datagram::ColdNews(notice);
         self.send_to_all(&datagram, &boxes);
-        sleep(TELL_AGAIN).await;
+        sleep(RESEND_DELAY).await;
         self.send_to_all(&datagram, &boxes);
     }
 
@@ -249,15 +249,15 @@
     }
 
     /// Handles another box's notice that an upstream is cold.
-    pub(crate) fn hear_cold(&self, news: &ColdNews) {
-        self.take_cold(news, "peer");
+    pub(crate) fn hear_cold(&self, notice: &ColdNews) {
+        self.record_cold(notice, "peer");
     }
 
-    fn take_cold(&self, news: &ColdNews, source: &str) {
+    fn record_cold(&self, notice: &ColdNews, source: &str) {
         let now = self.clock.now();
-        let is_news = self.placement().turned_cold(&news.life, news.for_ms, now);
-        if is_news {
-            let (upstream, for_ms) = (&news.life.upstream, news.for_ms);
+        let is_new = self.placement().turned_cold(&notice.life, notice.for_ms, now);
+        if is_new {
+            let (upstream, for_ms) = (&notice.life.upstream, notice.for_ms);
             emit(
                 Event::UpstreamCold,
                 format_args!("upstream={upstream} for_ms={for_ms} from={source}"),
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -5,11 +5,11 @@
 //! depends on its size and on the links, which are unknown here, so the timeouts apply mainly to
 //! the time without progress.
 
-mod answers;
+mod replies;
 mod transfer;
 
 use crate::context::Context;
-use answers::AnswerCache;
+use replies::ReplyCache;
 use brasswinch_routing::{CatchUp, ConfigMark, Revision, Scope};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -19,13 +19,13 @@
 use tokio::time::{Instant, timeout};
 use tokio_tungstenite::tungstenite::protocol::WebSocketConfig;
 use tokio_tungstenite::{WebSocketStream, accept_async_with_config, client_async_with_config};
-use transfer::{PIECE_BYTES, receive, send};
+use transfer::{CHUNK_BYTES, receive, send};
 
 pub(crate) use transfer::TransferError;
 
 /// Timeout for the connection, its handshake and the request together. A dead box delays a catch-up
 /// by this long.
-const ASK_TIMEOUT: Duration = Duration::from_millis(500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Timeout for a whole reply, even if it makes progress. Allows for the complete state, compressed,
 /// over a link of 10 Mbit/s that is shared with eight other transfers.
@@ -35,14 +35,14 @@
 const BUFFER_BYTES: usize = 4 * 1024;
 
 /// Bytes that a frame may have in addition to a chunk.
-const FRAME_MARGIN: usize = 1024;
+const FRAME_MARGIN_BYTES: usize = 1024;
 
 /// Pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Requests the changes of a scope after a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Question {
+struct ChangesRequest {
     scope: Scope,
     after: Option<Revision>,
     /// The configuration that the requesting box has.
@@ -53,9 +53,11 @@
 #[derive(Debug, Serialize, Deserialize)]
 enum Reply {
     /// The changes that the requesting box lacks.
-    News(CatchUp),
+    #[serde(rename = "News")]
+    Changes(CatchUp),
     /// The box has just started and has no data yet.
-    KnowsNothing,
+    #[serde(rename = "KnowsNothing")]
+    NoData,
     /// The box is already sending the maximum number of large replies.
     Busy,
 }
@@ -71,16 +73,16 @@
     Transfer(#[from] TransferError),
     /// The other box has just started and has no data yet.
     #[error("the peer has no data yet")]
-    KnowsNothing,
+    NoData,
     /// The other box is already sending the maximum number of large replies.
     #[error("the peer is busy with other large replies")]
     Busy,
     /// The connection, its handshake or the request timed out.
     #[error("connecting and sending the request timed out")]
-    NotConnected,
+    ConnectTimeout,
     /// The reply was not complete in time.
     #[error("the reply timed out")]
-    NotWhole,
+    ReplyTimeout,
 }
 
 /// A reply with its size and duration.
@@ -94,7 +96,7 @@
 
 /// Serves other boxes' requests for as long as the process runs.
 pub(crate) async fn serve(context: Arc<Context>, listener: TcpListener) {
-    let cache = Arc::new(AnswerCache::default());
+    let cache = Arc::new(ReplyCache::default());
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -103,7 +105,7 @@
         let (context, cache) = (Arc::clone(&context), Arc::clone(&cache));
         tokio::spawn(async move {
             // On an error the requesting box fails too, and asks another box.
-            let _ = timeout(EXCHANGE_TIMEOUT, answer(&context, &cache, stream)).await;
+            let _ = timeout(EXCHANGE_TIMEOUT, reply_to(&context, &cache, stream)).await;
         });
     }
 }
@@ -119,18 +121,18 @@
     scope: Scope,
 ) -> Result<Answered, RelayError> {
     let began = Instant::now();
-    let question = own_question(context, scope);
-    let mut socket = timeout(ASK_TIMEOUT, connect_and_send(context, peer, &question))
+    let request = build_request(context, scope);
+    let mut socket = timeout(REQUEST_TIMEOUT, connect_and_send(context, peer, &request))
         .await
-        .map_err(|_| RelayError::NotConnected)??;
+        .map_err(|_| RelayError::ConnectTimeout)??;
     let (reply, bytes) = timeout(EXCHANGE_TIMEOUT, receive(&mut socket))
         .await
-        .map_err(|_| RelayError::NotWhole)??;
+        .map_err(|_| RelayError::ReplyTimeout)??;
     // A failed close needs no handling: the other box stops waiting by itself.
     let _ = socket.close(None).await;
     let news = match reply {
-        Reply::News(news) => news,
-        Reply::KnowsNothing => return Err(RelayError::KnowsNothing),
+        Reply::Changes(news) => news,
+        Reply::NoData => return Err(RelayError::NoData),
         Reply::Busy => return Err(RelayError::Busy),
     };
     Ok(Answered {
@@ -140,9 +142,9 @@
     })
 }
 
-fn own_question(context: &Context, scope: Scope) -> Question {
+fn build_request(context: &Context, scope: Scope) -> ChangesRequest {
     let fleet = context.fleet();
-    Question {
+    ChangesRequest {
         scope,
         after: fleet.newest(scope),
         config: fleet.config_mark().filter(|_| scope == Scope::Operator),
@@ -152,14 +154,14 @@
 async fn connect_and_send(
     context: &Context,
     peer: SocketAddr,
-    question: &Question,
+    request: &ChangesRequest,
 ) -> Result<WebSocketStream<TcpStream>, RelayError> {
-    let stream = connect(context, peer).await.map_err(failed)?;
+    let stream = connect(context, peer).await.map_err(connection_error)?;
     let url = format!("ws://{peer}/");
     let (mut socket, _) = client_async_with_config(url, stream, Some(config()))
         .await
-        .map_err(failed)?;
-    send(&mut socket, &transfer::pack(question)?).await?;
+        .map_err(connection_error)?;
+    send(&mut socket, &transfer::encode(request)?).await?;
     Ok(socket)
 }
 
@@ -176,38 +178,38 @@
     Ok(stream)
 }
 
-async fn answer(
+async fn reply_to(
     context: &Context,
-    cache: &AnswerCache,
+    cache: &ReplyCache,
     stream: TcpStream,
 ) -> Result<(), RelayError> {
-    let asked = timeout(ASK_TIMEOUT, accept_question(stream)).await;
-    let (mut socket, question) = asked.map_err(|_| RelayError::NotConnected)??;
-    let answer = cache.answer(context, question)?;
-    send(&mut socket, &answer.packed).await?;
+    let accepted = timeout(REQUEST_TIMEOUT, accept_request(stream)).await;
+    let (mut socket, request) = accepted.map_err(|_| RelayError::ConnectTimeout)??;
+    let reply = cache.reply(context, request)?;
+    send(&mut socket, &reply.encoded).await?;
     transfer::wait_for_close(&mut socket).await;
     Ok(())
 }
 
-async fn accept_question(
+async fn accept_request(
     stream: TcpStream,
-) -> Result<(WebSocketStream<TcpStream>, Question), RelayError> {
-    stream.set_nodelay(true).map_err(failed)?;
+) -> Result<(WebSocketStream<TcpStream>, ChangesRequest), RelayError> {
+    stream.set_nodelay(true).map_err(connection_error)?;
     let mut socket = accept_async_with_config(stream, Some(config()))
         .await
-        .map_err(failed)?;
-    let (question, _) = receive(&mut socket).await?;
-    Ok((socket, question))
+        .map_err(connection_error)?;
+    let (request, _) = receive(&mut socket).await?;
+    Ok((socket, request))
 }
 
 fn config() -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(BUFFER_BYTES)
         .write_buffer_size(BUFFER_BYTES)
-        .max_message_size(Some(PIECE_BYTES + FRAME_MARGIN))
-        .max_frame_size(Some(PIECE_BYTES + FRAME_MARGIN))
+        .max_message_size(Some(CHUNK_BYTES + FRAME_MARGIN_BYTES))
+        .max_frame_size(Some(CHUNK_BYTES + FRAME_MARGIN_BYTES))
 }
 
-fn failed(error: impl std::fmt::Display) -> RelayError {
+fn connection_error(error: impl std::fmt::Display) -> RelayError {
     RelayError::Connection(error.to_string())
 }
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -1,7 +1,7 @@
 //! Reads the head of a request.
 
 use crate::clock::{Clock, Deadline};
-use crate::credentials::shown_key;
+use crate::credentials::presented_key;
 use crate::dialect::Dialect;
 use brasswinch_routing::LONGEST_TIME_S;
 use brasswinch_types::ErrorKind;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Timeout of a route that sets none.
-const DEFAULT_TIME: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Hop-by-hop headers, which are not forwarded.
 const HOP_BY_HOP: [HeaderName; 8] = [
@@ -33,7 +33,7 @@
     /// The object of the request, from its cookie.
     pub(crate) object: Option<&'a [u8]>,
     /// How long the client waits, if declared.
-    pub(crate) deadline: Option<Duration>,
+    pub(crate) client_timeout: Option<Duration>,
     /// Length of the body in bytes, if declared.
     pub(crate) body_length: Option<u64>,
     /// The client's key, if the head has a well-formed one.
@@ -52,21 +52,21 @@
             host,
             path: parts.uri.path(),
             object: object(&parts.headers, &dialect.object_cookie),
-            deadline: deadline(&parts.headers, dialect)?,
+            client_timeout: client_timeout(&parts.headers, dialect)?,
             body_length: body_length(&parts.headers)?,
-            key: shown_key(&parts.headers, &dialect.key_scheme),
+            key: presented_key(&parts.headers, &dialect.key_scheme),
         })
     }
 
     /// Returns when the request, which has just arrived, must have its final response.
-    pub(crate) fn answer_by(&self, clock: &Clock, timeout_s: Option<f64>) -> Deadline {
-        let by_route = timeout_s.map_or(DEFAULT_TIME, Duration::from_secs_f64);
-        let span = self.deadline.map_or(by_route, |span| span.min(by_route));
-        clock.after(span)
+    pub(crate) fn deadline(&self, clock: &Clock, timeout_s: Option<f64>) -> Deadline {
+        let route_timeout = timeout_s.map_or(DEFAULT_TIMEOUT, Duration::from_secs_f64);
+        let timeout = self.client_timeout.map_or(route_timeout, |timeout| timeout.min(route_timeout));
+        clock.after(timeout)
     }
 }
 
-fn deadline(headers: &HeaderMap, dialect: &Dialect) -> Result<Option<Duration>, ErrorKind> {
+fn client_timeout(headers: &HeaderMap, dialect: &Dialect) -> Result<Option<Duration>, ErrorKind> {
     let Some(value) = headers.get(&dialect.deadline_ms) else {
         return Ok(None);
     };
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -5,7 +5,7 @@
 //! connections left in the listener's queue and closes the listener.
 
 use crate::context::{Context, Lifecycle};
-use crate::exchange::answer;
+use crate::exchange::handle_request;
 use http::{HeaderValue, header};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -21,13 +21,13 @@
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 /// Idle time after which a connection is closed if no configuration is in force.
-const LONGEST_IDLE: Duration = Duration::from_secs(60);
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(60);
 
 /// Added to the idle limit, so that a client that observes the limit never uses a closed connection.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
 /// Maximum size of a connection's buffer, which bounds the head of a request.
-const LEAST_HEAD_BYTES: usize = 64 * 1024;
+const MAX_CONNECTION_BUFFER_BYTES: usize = 64 * 1024;
 
 /// How long open connections may still bring a request after the box has closed. Such a request
 /// was sent before the client could learn of the close.
@@ -61,7 +61,7 @@
     let service = service_fn(|request| {
         let context = Arc::clone(&context);
         async move {
-            let mut response = answer(&context, request).await;
+            let mut response = handle_request(&context, request).await;
             if context.lifecycle() >= Lifecycle::Leaving {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
@@ -74,7 +74,7 @@
         http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(idle + IDLE_MARGIN)
-            .max_buf_size(LEAST_HEAD_BYTES)
+            .max_buf_size(MAX_CONNECTION_BUFFER_BYTES)
             .serve_connection(TokioIo::new(stream), service)
     );
     tokio::select! {
@@ -92,7 +92,7 @@
 fn idle_limit(context: &Context) -> Duration {
     let in_force = context.in_force.load();
     let limits = in_force.as_ref().map(|in_force| in_force.config.limits);
-    limits.map_or(LONGEST_IDLE, |limits| {
+    limits.map_or(DEFAULT_IDLE_LIMIT, |limits| {
         Duration::from_secs_f64(limits.idle_timeout_s.max(limits.header_timeout_s))
     })
 }
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -30,8 +30,10 @@
     /// Upstreams by service.
     pub services: Vec<ServiceStatus>,
     /// This box's remaining retries of each service.
+    #[serde(rename = "repeats_left")]
     pub repeats_left: Vec<RepeatsLeft>,
     /// Whether the box knows which box owns which quota.
+    #[serde(rename = "knows_quota_keepers")]
     pub knows_quota_keepers: bool,
     /// Quotas of workspaces that sent requests to this box.
     pub quotas: Vec<QuotaStatus>,
@@ -42,9 +44,11 @@
     /// Number of boxes that share the fleet's limits, including this one.
     pub fleet_size: usize,
     /// Number of other boxes that are alive.
-    pub boxes_heard: usize,
+    #[serde(rename = "boxes_heard")]
+    pub boxes_alive: usize,
     /// Other boxes that stopped responding within the last minute.
-    pub boxes_silent: Vec<BoxId>,
+    #[serde(rename = "boxes_silent")]
+    pub boxes_unresponsive: Vec<BoxId>,
 }
 
 /// A box's view of one scope of the store.
@@ -57,7 +61,8 @@
     /// Milliseconds since the view was last known to be complete; `None` if it never was.
     pub age_ms: Option<Millis>,
     /// Revision of a later change that other boxes announced.
-    pub awaited: Option<u64>,
+    #[serde(rename = "awaited")]
+    pub pending_revision: Option<u64>,
 }
 
 /// What remains of a retry budget.
@@ -73,7 +78,7 @@
     /// Returns the current status of the box.
     pub fn status(&self) -> BoxStatus {
         let now = self.clock.now();
-        let (reaches_store, boxes_heard, boxes_silent) = self.boxes_by_liveness();
+        let (reaches_store, boxes_alive, boxes_unresponsive) = self.boxes_by_liveness();
         let in_force = self.in_force.load();
         let zones = self.settings.zones.keys();
         let fleet = self.fleet();
@@ -98,8 +103,8 @@
             limits: self.limit_status(),
             quarantine: self.quarantine_status(),
             fleet_size: self.fleet_size.boxes(),
-            boxes_heard,
-            boxes_silent,
+            boxes_alive,
+            boxes_unresponsive,
         }
     }
 
@@ -110,17 +115,17 @@
             scope,
             revision: fleet.newest(scope).map(|revision| revision.0),
             age_ms,
-            awaited: fleet.awaited(scope).map(|revision| revision.0),
+            pending_revision: fleet.awaited(scope).map(|revision| revision.0),
         }
     }
 
     fn boxes_by_liveness(&self) -> (bool, usize, Vec<BoxId>) {
         let swim = self.swim();
-        let heard = |liveness| liveness == Liveness::Alive;
-        let count = swim.members().filter(|member| heard(member.liveness));
-        let silent = swim.members().filter(|member| !heard(member.liveness));
-        let silent = silent.map(|member| member.record.id.clone());
-        (swim.me().reaches_store, count.count(), silent.collect())
+        let is_alive = |liveness| liveness == Liveness::Alive;
+        let count = swim.members().filter(|member| is_alive(member.liveness));
+        let unresponsive = swim.members().filter(|member| !is_alive(member.liveness));
+        let unresponsive = unresponsive.map(|member| member.record.id.clone());
+        (swim.me().reaches_store, count.count(), unresponsive.collect())
     }
 }
 
@@ -132,8 +137,8 @@
             Some(version) => writeln!(f, "configuration: version {version}")?,
             None => writeln!(f, "configuration: none")?,
         }
-        let answers = if self.reaches_store { "reachable" } else { "not reachable" };
-        writeln!(f, "store: {answers}; duty {:?}", self.duty)?;
+        let reachability = if self.reaches_store { "reachable" } else { "not reachable" };
+        writeln!(f, "store: {reachability}; duty {:?}", self.duty)?;
         self.views.iter().try_for_each(|view| write!(f, "{view}"))?;
         for zone in &self.evacuated_zones {
             writeln!(f, "evacuated: {zone}")?;
@@ -153,10 +158,10 @@
         self.quarantine
             .iter()
             .try_for_each(|held| writeln!(f, "request {held}"))?;
-        let (size, heard) = (self.fleet_size, self.boxes_heard);
-        writeln!(f, "boxes: {size} share limits; others alive: {heard}")?;
-        for silent in &self.boxes_silent {
-            writeln!(f, "box not responding: {silent}")?;
+        let (size, alive) = (self.fleet_size, self.boxes_alive);
+        writeln!(f, "boxes: {size} share limits; others alive: {alive}")?;
+        for unresponsive in &self.boxes_unresponsive {
+            writeln!(f, "box not responding: {unresponsive}")?;
         }
         Ok(())
     }
@@ -169,8 +174,8 @@
         };
         write!(f, "view of {:?}: revision {revision}", self.scope)?;
         write!(f, ", complete {age_ms} ms ago")?;
-        match self.awaited {
-            Some(awaited) => writeln!(f, ", pending revision {awaited}"),
+        match self.pending_revision {
+            Some(pending) => writeln!(f, ", pending revision {pending}"),
             None => writeln!(f),
         }
     }
--- a/crates/edge/src/upstream_signals.rs
+++ b/crates/edge/src/upstream_signals.rs
@@ -13,7 +13,7 @@
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header};
 
 /// Header value with which an upstream announces that it is leaving.
-const LEAVES: &str = "1";
+const LEAVING_VALUE: &str = "1";
 
 /// The signals in the head of an upstream's response.
 #[derive(Debug, Default)]
@@ -33,9 +33,9 @@
     /// The upstream accepts no new requests.
     pub(crate) is_leaving: bool,
     /// How long this box must send the upstream no requests.
-    pub(crate) rest: Option<UpstreamRest>,
+    pub(crate) retry_after: Option<UpstreamRest>,
     /// Signals that could not be parsed.
-    pub(crate) unreadable: Vec<Unreadable>,
+    pub(crate) invalid: Vec<InvalidSignal>,
 }
 
 /// A response's signal about the upstream's limit.
@@ -43,7 +43,7 @@
 pub(crate) enum LimitSignal {
     /// Not present: an unsuccessful response may leave it out.
     #[default]
-    Untold,
+    Absent,
     /// The upstream has no limit.
     Unlimited,
     /// The upstream has this limit.
@@ -52,16 +52,16 @@
 
 /// A signal that could not be parsed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Unreadable {
+pub(crate) struct InvalidSignal {
     pub(crate) signal: UpstreamSignal,
     pub(crate) error: UpstreamSignalError,
 }
 
 impl UpstreamSignals {
     /// Reads the signals in the head of a response.
-    pub(crate) fn read(answer: &Parts, dialect: &Dialect) -> Self {
-        let headers = &answer.headers;
-        let is_misdirected = answer.status == StatusCode::MISDIRECTED_REQUEST;
+    pub(crate) fn read(response: &Parts, dialect: &Dialect) -> Self {
+        let headers = &response.headers;
+        let is_misdirected = response.status == StatusCode::MISDIRECTED_REQUEST;
         let mut signals = Self {
             is_misdirected,
             did_not_run: headers.contains_key(&dialect.not_run),
@@ -72,15 +72,15 @@
         if is_misdirected {
             return signals;
         }
-        signals.load = signals.keep(UpstreamSignal::Load, load(headers, &dialect.load));
-        signals.limit = signals.limit(answer, &dialect.limit);
+        signals.load = signals.value_or_record(UpstreamSignal::Load, load(headers, &dialect.load));
+        signals.limit = signals.limit(response, &dialect.limit);
         let leaving = leaving(headers, &dialect.leaving);
-        signals.is_leaving = signals.keep(UpstreamSignal::Leaving, leaving).is_some();
+        signals.is_leaving = signals.value_or_record(UpstreamSignal::Leaving, leaving).is_some();
         // If the request ran, `Retry-After` concerns this request, not the upstream.
-        let turned_away = signals.did_not_run || answer.status == StatusCode::SERVICE_UNAVAILABLE;
-        if turned_away {
+        let was_refused = signals.did_not_run || response.status == StatusCode::SERVICE_UNAVAILABLE;
+        if was_refused {
             let rest = parsed(headers, &header::RETRY_AFTER);
-            signals.rest = signals.keep(UpstreamSignal::Rest, rest);
+            signals.retry_after = signals.value_or_record(UpstreamSignal::Rest, rest);
         }
         signals
     }
@@ -90,26 +90,26 @@
         self.is_misdirected || self.did_not_run
     }
 
-    fn limit(&mut self, answer: &Parts, name: &HeaderName) -> LimitSignal {
-        match parsed(&answer.headers, name) {
+    fn limit(&mut self, response: &Parts, name: &HeaderName) -> LimitSignal {
+        match parsed(&response.headers, name) {
             Ok(Some(limit)) => LimitSignal::Limited(limit),
-            Ok(None) if answer.status.is_success() => LimitSignal::Unlimited,
-            Ok(None) => LimitSignal::Untold,
+            Ok(None) if response.status.is_success() => LimitSignal::Unlimited,
+            Ok(None) => LimitSignal::Absent,
             Err(error) => {
-                self.keep::<()>(UpstreamSignal::Limit, Err(error));
-                LimitSignal::Untold
+                self.value_or_record::<()>(UpstreamSignal::Limit, Err(error));
+                LimitSignal::Absent
             }
         }
     }
 
     /// Returns the signal's value if present; records a parse error.
-    fn keep<T>(
+    fn value_or_record<T>(
         &mut self,
         signal: UpstreamSignal,
         read: Result<Option<T>, UpstreamSignalError>,
     ) -> Option<T> {
         read.unwrap_or_else(|error| {
-            self.unreadable.push(Unreadable { signal, error });
+            self.invalid.push(InvalidSignal { signal, error });
             None
         })
     }
@@ -117,46 +117,46 @@
 
 impl Context {
     /// Applies the signals in a response of the chosen upstream.
-    pub(crate) fn hear_signals(&self, choice: &Choice, grant: Grant, signals: &UpstreamSignals) {
+    pub(crate) fn apply_upstream_signals(&self, choice: &Choice, grant: Grant, signals: &UpstreamSignals) {
         let now = self.clock.now();
         if let Some(report) = signals.load {
             self.placement().reported(choice, report, now);
         }
         match signals.limit {
-            LimitSignal::Untold => {}
+            LimitSignal::Absent => {}
             LimitSignal::Unlimited => self.hear_limit(choice, grant, None),
             LimitSignal::Limited(limit) => self.hear_limit(choice, grant, Some(limit)),
         }
         let upstream = &choice.upstream;
         if signals.is_leaving && self.placement().leaves(choice) {
-            let told = format_args!("upstream={upstream} from=answer");
-            emit(Event::UpstreamLeaving, told);
+            let detail = format_args!("upstream={upstream} from=answer");
+            emit(Event::UpstreamLeaving, detail);
         }
-        if let Some(rest) = signals.rest
+        if let Some(rest) = signals.retry_after
             && self.placement().rests(choice, rest, now)
         {
             let for_ms = rest.ms();
-            let told = format_args!("upstream={upstream} for_ms={for_ms}");
-            emit(Event::UpstreamResting, told);
+            let detail = format_args!("upstream={upstream} for_ms={for_ms}");
+            emit(Event::UpstreamResting, detail);
         }
-        if signals.unreadable.is_empty() || !self.placement().says_unreadable(choice) {
+        if signals.invalid.is_empty() || !self.placement().says_unreadable(choice) {
             return;
         }
-        report_unreadable(upstream, &signals.unreadable);
+        log_invalid_signals(upstream, &signals.invalid);
     }
 
     /// Records a signal in an upstream's health response that could not be parsed.
-    pub(crate) fn hear_unreadable(&self, life: &UpstreamLife, unreadable: Unreadable) {
+    pub(crate) fn record_invalid_signal(&self, life: &UpstreamLife, invalid: InvalidSignal) {
         if self.placement().health_is_unreadable(life) {
-            report_unreadable(&life.upstream, &[unreadable]);
+            log_invalid_signals(&life.upstream, &[invalid]);
         }
     }
 }
 
-fn report_unreadable(upstream: &UpstreamId, unreadable: &[Unreadable]) {
-    for Unreadable { signal, error } in unreadable {
-        let told = format_args!("upstream={upstream} signal={signal}: {error}");
-        emit(Event::SignalUnreadable, told);
+fn log_invalid_signals(upstream: &UpstreamId, invalid: &[InvalidSignal]) {
+    for InvalidSignal { signal, error } in invalid {
+        let detail = format_args!("upstream={upstream} signal={signal}: {error}");
+        emit(Event::SignalUnreadable, detail);
     }
 }
 
@@ -187,7 +187,7 @@
 fn leaving(headers: &HeaderMap, name: &HeaderName) -> Result<Option<()>, UpstreamSignalError> {
     match header_value(headers, name)? {
         None => Ok(None),
-        Some(LEAVES) => Ok(Some(())),
+        Some(LEAVING_VALUE) => Ok(Some(())),
         Some(_) => Err(UpstreamSignalError::UnknownValue),
     }
 }
--- a/crates/edge/src/waiters.rs
+++ b/crates/edge/src/waiters.rs
@@ -9,61 +9,61 @@
 /// Requests that wait for a reply, by id.
 #[derive(Debug)]
 pub(crate) struct Waiters<A> {
-    by_question: Mutex<HashMap<u64, oneshot::Sender<A>>>,
+    by_id: Mutex<HashMap<u64, oneshot::Sender<A>>>,
 }
 
 impl<A> Default for Waiters<A> {
     fn default() -> Self {
         Self {
-            by_question: Mutex::default(),
+            by_id: Mutex::default(),
         }
     }
 }
 
 impl<A> Waiters<A> {
     fn lock(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<A>>> {
-        self.by_question
+        self.by_id
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Registers the request `question`. Must be called before it is sent.
-    pub(crate) fn wait(&self, question: u64) -> Waiting<'_, A> {
-        let (sender, answer) = oneshot::channel();
-        self.lock().insert(question, sender);
-        Waiting {
+    /// Registers the request `id`. Must be called before it is sent.
+    pub(crate) fn wait(&self, id: u64) -> PendingReply<'_, A> {
+        let (sender, reply) = oneshot::channel();
+        self.lock().insert(id, sender);
+        PendingReply {
             waiters: self,
-            question,
-            answer,
+            id,
+            reply,
         }
     }
 
     /// Delivers a reply. Returns it if no task waits for it any more.
-    pub(crate) fn answered(&self, question: u64, answer: A) -> Option<A> {
-        let Some(waiting) = self.lock().remove(&question) else {
-            return Some(answer);
+    pub(crate) fn answered(&self, id: u64, reply: A) -> Option<A> {
+        let Some(sender) = self.lock().remove(&id) else {
+            return Some(reply);
         };
-        waiting.send(answer).err()
+        sender.send(reply).err()
     }
 }
 
 /// A reply that is waited for. Dropping it cancels the wait.
-pub(crate) struct Waiting<'a, A> {
+pub(crate) struct PendingReply<'a, A> {
     waiters: &'a Waiters<A>,
-    question: u64,
-    answer: oneshot::Receiver<A>,
+    id: u64,
+    reply: oneshot::Receiver<A>,
 }
 
-impl<A> Waiting<'_, A> {
+impl<A> PendingReply<'_, A> {
     /// Returns the reply if it arrives within `time`.
     pub(crate) async fn within(mut self, time: Duration) -> Option<A> {
-        let answered = timeout(time, &mut self.answer).await;
+        let answered = timeout(time, &mut self.reply).await;
         answered.ok()?.ok()
     }
 }
 
-impl<A> Drop for Waiting<'_, A> {
+impl<A> Drop for PendingReply<'_, A> {
     fn drop(&mut self) {
-        self.waiters.lock().remove(&self.question);
+        self.waiters.lock().remove(&self.id);
     }
 }
--- a/crates/edge/tests/crashing_requests.rs
+++ b/crates/edge/tests/crashing_requests.rs
@@ -266,11 +266,11 @@
         store.handle(),
     );
     let cut = cut.await.unwrap();
-    let knows = || cut.context().status().boxes_heard == BOXES;
+    let knows = || cut.context().status().boxes_alive == BOXES;
     eventually("it knows the others", knows).await;
     others.shutdown_background();
     drop(first);
-    let hears_nobody = || cut.context().status().boxes_heard == 0;
+    let hears_nobody = || cut.context().status().boxes_alive == 0;
     eventually("it hears nobody", hears_nobody).await;
     let kept = shut_out_elsewhere().await;
     assert_eq!(kept.len(), 1);
