--- a/crates/edge/tests/answers.rs
+++ b/crates/edge/tests/answers.rs
@@ -1,4 +1,5 @@
-//! Every client gets the whole answer to its own request, or a truthful failure.
+//! Every client gets the complete response to its own request, or an error that states correctly
+//! whether the request may have run.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -10,11 +11,11 @@
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
-/// An upstream that does wrong, beside one that doesn't.
-async fn one_wrong(behaviour: Behaviour) -> Site {
+/// Starts a site with two upstreams; the one that the first request reaches has `behaviour`.
+async fn site_with_faulty_upstream(behaviour: Behaviour) -> Site {
     let site = Site::start(2).await;
     site.upstreams[0].always(behaviour.clone());
-    // Whichever is the object's home: the first request meets the wrong one.
+    // Either upstream may be the object's home: give the behaviour to the one that is.
     let home = site.get("/safe/home").await;
     if home.body == "upstream-1" && site.upstreams[0].seen().is_empty() {
         site.upstreams[0].always(Behaviour::Answer(200));
@@ -57,7 +58,7 @@
 #[tokio::test]
 async fn a_refused_request_goes_to_another_upstream() {
     for behaviour in [Behaviour::Refuse, Behaviour::Misdirected] {
-        let site = one_wrong(behaviour).await;
+        let site = site_with_faulty_upstream(behaviour).await;
         let answer = site.post("/once/1", "x").await;
         assert_eq!(answer.status, 200);
     }
@@ -84,7 +85,7 @@
 
 #[tokio::test]
 async fn an_upstream_that_has_another_s_address_gets_nothing_more() {
-    let site = one_wrong(Behaviour::Misdirected).await;
+    let site = site_with_faulty_upstream(Behaviour::Misdirected).await;
     for number in 0..5 {
         let answer = site.post("/once/1", "x").await;
         assert_eq!(answer.status, 200, "{number}");
@@ -93,7 +94,7 @@
     assert_eq!(misdirected, 1);
 }
 
-/// What an upstream may do so that nobody knows whether the request ran.
+/// Behaviours of an upstream after which it is unknown whether the request ran.
 const UNKNOWN: [Behaviour; 6] = [
     Behaviour::AnswerForAnother,
     Behaviour::AnswerUnsigned,
@@ -126,7 +127,7 @@
 #[tokio::test]
 async fn what_may_repeat_is_served_by_another_upstream() {
     for behaviour in UNKNOWN {
-        let site = one_wrong(behaviour.clone()).await;
+        let site = site_with_faulty_upstream(behaviour.clone()).await;
         for number in 0..3 {
             let answer = site.get("/safe/1").await;
             assert_eq!(answer.status, 200, "{behaviour:?} {number}");
@@ -137,7 +138,7 @@
 
 #[tokio::test]
 async fn what_may_have_run_is_never_told_not_run_by_a_later_try() {
-    // Whichever is home, one loses the request and the other refuses it.
+    // Either upstream may be the home: one closes the connection, the other refuses the request.
     for order in [
         [Behaviour::Close, Behaviour::Refuse],
         [Behaviour::Refuse, Behaviour::Close],
@@ -234,9 +235,9 @@
     let answer = site.get("/short/1").await;
     assert_eq!(answer.status, 504);
     assert_eq!(site.seen(), 1);
-    // The upstream's work is cancelled with its connection.
+    // Closing the connection cancels the upstream's work.
     let upstreams = site.upstreams.clone();
-    common::eventually("the upstream is left", || {
+    common::eventually("the connection to the upstream is closed", || {
         upstreams
             .iter()
             .map(|upstream| upstream.closed_early())
@@ -254,25 +255,25 @@
     let left = tokio::time::timeout(Duration::from_millis(300), calling).await;
     assert!(left.is_err());
     let upstream = site.upstreams[0].clone();
-    common::eventually("the upstream is left", || upstream.closed_early() == 1).await;
+    common::eventually("the connection to the upstream is closed", || upstream.closed_early() == 1).await;
 }
 
 #[tokio::test]
 async fn an_upstream_that_is_gone_costs_nobody_an_answer() {
-    let site = one_wrong(Behaviour::Answer(200)).await;
-    let gone = Dialect::default();
-    // An address that nobody listens on.
+    let site = site_with_faulty_upstream(Behaviour::Answer(200)).await;
+    let dialect = Dialect::default();
+    // An address without a listener.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     drop(listener);
-    let mut ghost = common::record(&site.upstreams[0]);
-    ghost.id = UpstreamId::new("ghost");
-    ghost.address = address;
+    let mut unreachable = common::record(&site.upstreams[0]);
+    unreachable.id = UpstreamId::new("ghost");
+    unreachable.address = address;
     site.store
-        .write(brasswinch_routing::Change::Upstream(ghost));
+        .write(brasswinch_routing::Change::Upstream(unreachable));
     for number in 0..40 {
         let mut request = request("POST", "/once/1", "x");
-        let cookie = format!("{}={number}", gone.object_cookie);
+        let cookie = format!("{}={number}", dialect.object_cookie);
         request
             .headers_mut()
             .insert("cookie", cookie.parse().unwrap());
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Bytes that make no sense, on every listener of a box: it serves on.
+//! A box keeps serving after invalid input on any of its listeners.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -12,10 +12,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpStream, UdpSocket};
 
-const TRIES: usize = 60;
+const ROUNDS: usize = 60;
 
-/// Random bytes, and heads that are nearly right.
-fn nonsense(runner: &mut TestRunner) -> Vec<u8> {
+/// Returns random bytes, or a request head that is almost valid.
+fn invalid_input(runner: &mut TestRunner) -> Vec<u8> {
     let bytes = proptest::collection::vec(any::<u8>(), 0..600);
     let head = "(GET|POST|G@T) /[a-z/%]{0,9} HTTP/1.[019]\r\n(host: [a-z.]{0,9}\r\n){0,2}\
                 (content-length: [0-9a-z]{0,4}\r\n){0,2}(transfer-encoding: [a-z]{0,7}\r\n)?\
@@ -25,9 +25,9 @@
     either.new_tree(runner).unwrap().current()
 }
 
-async fn throw_at(to: std::net::SocketAddr, bytes: &[u8]) {
+async fn send_bytes(to: std::net::SocketAddr, bytes: &[u8]) {
     let mut stream = TcpStream::connect(to).await.unwrap();
-    // A box that has had enough may close at any byte.
+    // The box may close the connection at any byte.
     let _ = stream.write_all(bytes).await;
     let _ = stream.shutdown().await;
     let mut answer = Vec::new();
@@ -36,20 +36,20 @@
 }
 
 #[tokio::test]
-async fn nonsense_from_clients_and_boxes_stops_nothing() {
+async fn invalid_input_from_clients_and_boxes_stops_nothing() {
     let site = Site::start(1).await;
     let addresses = site.handle.as_ref().unwrap().addresses();
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     let mut runner = TestRunner::deterministic();
-    for _ in 0..TRIES {
-        throw_at(addresses.clients, &nonsense(&mut runner)).await;
-        throw_at(addresses.peers, &nonsense(&mut runner)).await;
-        let datagram = nonsense(&mut runner);
+    for _ in 0..ROUNDS {
+        send_bytes(addresses.clients, &invalid_input(&mut runner)).await;
+        send_bytes(addresses.peers, &invalid_input(&mut runner)).await;
+        let datagram = invalid_input(&mut runner);
         socket.send_to(&datagram, addresses.peers).await.unwrap();
     }
     assert_eq!(site.get("/safe/1").await.status, 200);
     let runs = site.runs();
-    assert_eq!(runs, 1, "nonsense ran on an upstream");
+    assert_eq!(runs, 1, "only the valid request may run on an upstream");
 }
 
 #[tokio::test]
@@ -81,21 +81,20 @@
 #[tokio::test]
 async fn a_deadline_in_ages_is_served_like_any_other() {
     let site = Site::start(1).await;
-    for ages in ["1e15", "1.5e22"] {
+    for far_future in ["1e15", "1.5e22"] {
         let mut request = request("GET", "/safe/1", "");
         let name = Dialect::default().deadline_ms;
-        request.headers_mut().insert(name, ages.parse().unwrap());
+        request.headers_mut().insert(name, far_future.parse().unwrap());
         let answer = call(site.clients, request).await.unwrap();
-        assert_eq!(answer.status, 200, "{ages}");
+        assert_eq!(answer.status, 200, "{far_future}");
     }
 }
 
-/// A view whose age is a span from 0 up is understood; one that says anything else is not,
-/// and the box that hears it says so and takes nothing of it.
+/// A gossip message decodes only if the ages of its views are integers from 0 to `u32::MAX`.
 #[test]
-fn a_view_whose_age_is_no_span_is_not_understood() {
+fn a_view_with_an_invalid_age_is_rejected() {
     use ciborium::Value;
-    let known = |age: Value| {
+    let decode_with_age = |age: Value| {
         let text = |text: &str| Value::Text(text.into());
         let view = Value::Map(vec![
             (text("s"), text("Upstreams")),
@@ -112,9 +111,9 @@
         ciborium::into_writer(&message, &mut datagram).unwrap();
         ciborium::from_reader::<brasswinch_routing::SwimMessage, _>(&datagram[..])
     };
-    assert!(known(Value::from(0)).is_ok());
-    assert!(known(Value::from(4_000)).is_ok());
-    let no_spans = [
+    assert!(decode_with_age(Value::from(0)).is_ok());
+    assert!(decode_with_age(Value::from(4_000)).is_ok());
+    let invalid_ages = [
         Value::from(-1),
         Value::from(u64::from(u32::MAX) + 1),
         Value::Float(f64::NAN),
@@ -122,7 +121,7 @@
         Value::Text("400".into()),
         Value::Null,
     ];
-    for age in no_spans {
-        assert!(known(age.clone()).is_err(), "{age:?}");
+    for age in invalid_ages {
+        assert!(decode_with_age(age.clone()).is_err(), "{age:?}");
     }
 }
--- a/crates/edge/tests/health.rs
+++ b/crates/edge/tests/health.rs
@@ -1,4 +1,4 @@
-//! Questions to upstreams how they are, while the store is silent.
+//! Health probes of upstreams while the store doesn't respond.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -8,73 +8,73 @@
 use common::fleet::{BOXES, Fleet};
 use std::time::Duration;
 
-/// Between two questions to one upstream, and some more.
-const ASKED_EVERY: Duration = Duration::from_millis(1_100);
+/// Interval between probes of one upstream, plus a margin.
+const PROBE_INTERVAL: Duration = Duration::from_millis(1_100);
 
-fn questions(fleet: &Fleet) -> Vec<usize> {
+fn probe_counts(fleet: &Fleet) -> Vec<usize> {
     let upstreams = fleet.upstreams.iter();
     upstreams.map(Upstream::health_questions).collect()
 }
 
-/// Upstreams that the figures of a box count as cold.
-fn cold(fleet: &Fleet) -> Vec<String> {
+/// Returns each box's metric line of cold upstreams.
+fn cold_lines(fleet: &Fleet) -> Vec<String> {
     let is_cold = |line: &&str| line.contains("state=\"cold\"");
     let of_box = |text: String| text.lines().find(is_cold).unwrap().to_owned();
     let boxes = fleet.boxes.iter();
     boxes
-        .map(|held| of_box(held.context().figures_text()))
+        .map(|handle| of_box(handle.context().figures_text()))
         .collect()
 }
 
-fn are_cold(fleet: &Fleet, count: usize) -> bool {
+fn all_boxes_count_cold(fleet: &Fleet, count: usize) -> bool {
     let expected = format!("brasswinch_upstreams{{service=\"desk\",state=\"cold\"}} {count}");
-    cold(fleet).iter().all(|line| *line == expected)
+    cold_lines(fleet).iter().all(|line| *line == expected)
 }
 
-/// Each box asked each upstream by itself.
+/// Guards against every box probing every upstream.
 #[tokio::test]
-async fn an_upstream_is_asked_by_every_box() {
+async fn an_upstream_is_probed_by_one_box() {
     let fleet = Fleet::start(BOXES).await;
     fleet.silence_store();
-    let all_asked = || questions(&fleet).iter().all(|asked| *asked > 0);
-    eventually("each upstream was asked", all_asked).await;
-    tokio::time::sleep(ASKED_EVERY).await;
-    // One box has asked once more, or twice.
-    let asked = questions(&fleet);
-    assert!(asked.iter().all(|asked| *asked <= BOXES), "{asked:?}");
+    let all_probed = || probe_counts(&fleet).iter().all(|probes| *probes > 0);
+    eventually("each upstream was probed", all_probed).await;
+    tokio::time::sleep(PROBE_INTERVAL).await;
+    // The box in charge has sent one or two more probes.
+    let probes = probe_counts(&fleet);
+    assert!(probes.iter().all(|probes| *probes <= BOXES), "{probes:?}");
 }
 
-/// All boxes go by what one of them was told.
+/// One box probes the upstream; all boxes must learn the result.
 #[tokio::test]
-async fn a_box_that_didn_t_ask_presses_a_cold_upstream() {
+async fn all_boxes_learn_that_an_upstream_is_cold() {
     let fleet = Fleet::start(BOXES).await;
     fleet.silence_store();
     fleet.upstreams[0].turn_cold(30);
-    eventually("all boxes know that it is cold", || are_cold(&fleet, 1)).await;
+    eventually("all boxes know that the upstream is cold", || all_boxes_count_cold(&fleet, 1)).await;
 }
 
-/// Another upstream had the address, and the one that had left it was taken for cold.
+/// Guards against recording an upstream as cold when another upstream responds at its address.
 #[tokio::test]
-async fn a_health_answer_of_another_upstream_is_believed() {
+async fn a_health_response_of_another_upstream_is_ignored() {
     let fleet = Fleet::start(1).await;
     fleet.silence_store();
     fleet.upstreams[0].turn_cold(30);
     fleet.upstreams[0].answer_health_as("another");
-    eventually("it was asked", || questions(&fleet)[0] > 1).await;
-    assert!(are_cold(&fleet, 0), "{:?}", cold(&fleet));
+    eventually("it was probed", || probe_counts(&fleet)[0] > 1).await;
+    assert!(all_boxes_count_cold(&fleet, 0), "{:?}", cold_lines(&fleet));
 }
 
-/// A time that can't be meant took an upstream out of use.
+/// Guards against an invalid cold time taking an upstream out of use.
 #[tokio::test]
-async fn a_cold_time_that_can_t_be_meant_is_believed() {
+async fn an_invalid_cold_time_is_ignored() {
     let fleet = Fleet::start(1).await;
     fleet.silence_store();
     let endless = "9".repeat(400);
-    let words = ["-1", "NaN", "inf", &endless];
-    for (upstream, word) in fleet.upstreams.iter().zip(words) {
-        upstream.say_cold(word);
+    let cold_times = ["-1", "NaN", "inf", &endless];
+    for (upstream, cold_time) in fleet.upstreams.iter().zip(cold_times) {
+        upstream.say_cold(cold_time);
     }
-    let all_asked = || questions(&fleet).iter().all(|asked| *asked > 1);
-    eventually("each upstream was asked", all_asked).await;
-    assert!(are_cold(&fleet, 0), "{:?}", cold(&fleet));
+    let all_probed = || probe_counts(&fleet).iter().all(|probes| *probes > 1);
+    eventually("each upstream was probed", all_probed).await;
+    assert!(all_boxes_count_cold(&fleet, 0), "{:?}", cold_lines(&fleet));
 }
--- a/crates/edge/tests/leaving_upstreams.rs
+++ b/crates/edge/tests/leaving_upstreams.rs
@@ -1,11 +1,10 @@
-//! Requests reached upstreams up to 3.4 s after they had left, where 3 s are allowed.
+//! Guards against requests that reach upstreams later than the drain limit after they have left:
+//! they did up to 3.4 s afterwards, with a limit of 3 s.
 //!
-//! A third of the boxes lost power each second while whole zones of upstreams were silent and
-//! single others left. A box asked three dead boxes for news, 0.5 s each, and heard 1.15 s
-//! late that an upstream's entry was gone; it took the upstream for one of the many whose
-//! entries had run out, and used it for 2.25 s from when it heard. Nothing bounded the sum,
-//! and no box knew how old its knowledge was. `BW301 no connection in time` three times
-//! between two lines of BW220, and `lost_ms` on the request's own line, settled it.
+//! A box requested changes from three dead boxes, 0.5 s each, and learned 1.15 s late that an
+//! upstream's entry was gone. Since many entries had expired at that time, it kept using the
+//! upstream for another 2.25 s. Nothing bounded the sum of both, because no box tracked the age of
+//! its view.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -22,11 +21,11 @@
 use std::time::{Duration, Instant};
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Longest time in which requests may reach an upstream that left.
+/// Maximum time for which requests may reach an upstream that has left.
 const BOUND: Duration = Duration::from_secs(3);
 
-/// How long requests go on after that.
-const AFTERWARDS: Duration = Duration::from_millis(1_200);
+/// How long requests are sent after that time.
+const OBSERVATION_TIME: Duration = Duration::from_millis(1_200);
 
 const UPSTREAMS: usize = 6;
 
@@ -66,8 +65,8 @@
         }
     }
 
-    /// Sends a request about each of many objects.
-    async fn ask(&self) {
+    /// Sends one request for each of many objects.
+    async fn send_requests(&self) {
         const OBJECTS: usize = 12;
         for object in 0..OBJECTS {
             let mut request = request("GET", "/safe/1", "");
@@ -78,10 +77,10 @@
         }
     }
 
-    async fn ask_for(&self, time: Duration) {
+    async fn send_requests_for(&self, time: Duration) {
         let began = Instant::now();
         while began.elapsed() < time {
-            self.ask().await;
+            self.send_requests().await;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -91,17 +90,17 @@
         upstreams.iter().map(|upstream| upstream.seen().len()).sum()
     }
 
-    /// Asks for longer than the bound and checks that the upstreams of these numbers, which
-    /// have just left, got nothing after it.
-    async fn nothing_reaches_after_the_bound(&self, left: std::ops::Range<usize>) {
-        self.ask_for(BOUND).await;
+    /// Sends requests until after the bound and checks that the given upstreams, which have just
+    /// left, receive none after the bound.
+    async fn assert_no_requests_after_bound(&self, left: std::ops::Range<usize>) {
+        self.send_requests_for(BOUND).await;
         let at_the_bound = self.seen(left.clone());
-        self.ask_for(AFTERWARDS).await;
+        self.send_requests_for(OBSERVATION_TIME).await;
         let later = self.seen(left) - at_the_bound;
         assert_eq!(later, 0, "requests after the bound");
     }
 
-    fn says_it_leaves(&self, number: usize) {
+    fn write_leaving_entry(&self, number: usize) {
         let leaving = UpstreamRecord {
             state: UpstreamState::Draining,
             ..record(&self.upstreams[number])
@@ -109,7 +108,7 @@
         self.store.write(Change::Upstream(leaving));
     }
 
-    /// Ends the watch that is under way, and waits until what it brought is known.
+    /// Ends the current watch with a change, and waits until the box knows the change.
     async fn end_watch(&self) {
         let id = UpstreamId::new("other");
         let other = UpstreamRecord {
@@ -120,27 +119,27 @@
         let revision = self.store.write(Change::Upstream(other));
         let shown = format!("store_revision{{scope=\"upstreams\"}} {}", revision.0);
         let context = Arc::clone(self.edge.context());
-        eventually("it is known", || context.figures_text().contains(&shown)).await;
+        eventually("the change is known", || context.figures_text().contains(&shown)).await;
     }
 }
 
 #[tokio::test]
 async fn an_upstream_that_leaves_as_many_entries_are_lost_gets_nothing_after_the_bound() {
     let fleet = Fleet::start().await;
-    fleet.ask().await;
+    fleet.send_requests().await;
     fleet.store.set_answer_delay(Duration::from_millis(1_200));
     for number in 0..UPSTREAMS - 1 {
         let id = UpstreamId::new(&fleet.upstreams[number].id);
         fleet.store.write(Change::Gone(ChangeKey::Upstream(id)));
     }
     fleet
-        .nothing_reaches_after_the_bound(0..UPSTREAMS - 1)
+        .assert_no_requests_after_bound(0..UPSTREAMS - 1)
         .await;
 }
 
 #[tokio::test]
 async fn a_box_that_hears_nothing_new_learns_from_the_store_what_left() {
-    /// Enough to follow the store for all, by their links.
+    /// Enough boxes with fast links that the tested box doesn't follow the store itself.
     const WATCHERS: usize = 5;
     let fleet = Fleet::start().await;
     let peers = fleet.edge.addresses().peers;
@@ -156,20 +155,20 @@
     }
     let context = Arc::clone(fleet.edge.context());
     let all = format!("members_alive {WATCHERS}");
-    eventually("all are known", || context.figures_text().contains(&all)).await;
+    eventually("all boxes are known", || context.figures_text().contains(&all)).await;
     fleet.end_watch().await;
-    fleet.ask_for(Duration::from_millis(500)).await;
-    fleet.says_it_leaves(0);
-    fleet.nothing_reaches_after_the_bound(0..1).await;
+    fleet.send_requests_for(Duration::from_millis(500)).await;
+    fleet.write_leaving_entry(0);
+    fleet.assert_no_requests_after_bound(0..1).await;
 }
 
-/// Connections may fall silent without a reset while new ones work.
+/// An established connection may stall without a reset while new connections work.
 #[tokio::test]
 async fn a_watch_that_is_never_answered_keeps_no_box_from_what_left() {
     let fleet = Fleet::start().await;
     fleet.store.set_fault(StoreFault::SilentWatches);
     fleet.end_watch().await;
-    fleet.ask_for(Duration::from_millis(500)).await;
-    fleet.says_it_leaves(0);
-    fleet.nothing_reaches_after_the_bound(0..1).await;
+    fleet.send_requests_for(Duration::from_millis(500)).await;
+    fleet.write_leaving_entry(0);
+    fleet.assert_no_requests_after_bound(0..1).await;
 }
--- a/crates/edge/tests/suspended_boxes.rs
+++ b/crates/edge/tests/suspended_boxes.rs
@@ -1,8 +1,8 @@
-//! A box that was suspended goes by the time that has passed, not by the time that it ran.
+//! A box that was suspended must count the time of the suspension.
 //!
-//! While a machine is suspended its steady clock stands still. A box that went by it took a view
-//! of 30 s for a young one, sent requests whose clients had gone, and sent requests that must not
-//! run twice on connections that had rested for ages.
+//! The monotonic clock stops while a machine is suspended. A box that used it took a view of 30 s
+//! for a recent one, sent requests whose deadline had passed, and sent requests that must not run
+//! twice on connections that had been idle for too long.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -18,10 +18,10 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// How long the machine is suspended.
-const SUSPENDED: Duration = Duration::from_secs(30);
+/// Duration of the simulated suspension.
+const SUSPENSION: Duration = Duration::from_secs(30);
 
-/// A box whose clock the test moves.
+/// A box whose clock the test advances.
 struct Suspendable {
     clock: Clock,
     store: MemoryStore,
@@ -30,7 +30,7 @@
     clients: SocketAddr,
 }
 
-async fn suspendable() -> Suspendable {
+async fn start_suspendable() -> Suspendable {
     let dialect = Dialect::default();
     let store = MemoryStore::default().handle();
     store.write(Change::Config(Arc::new(config(1))));
@@ -54,11 +54,11 @@
 }
 
 #[tokio::test]
-async fn its_view_is_as_old_as_it_is() {
-    let held = suspendable().await;
-    held.store.set_fault(StoreFault::TurnedAway);
-    held.clock.skip(SUSPENDED);
-    let views = held.edge.context().status().views;
+async fn the_age_of_a_view_includes_the_suspension() {
+    let suspendable = start_suspendable().await;
+    suspendable.store.set_fault(StoreFault::TurnedAway);
+    suspendable.clock.skip(SUSPENSION);
+    let views = suspendable.edge.context().status().views;
     assert!(!views.is_empty());
     for view in views {
         assert!(view.age_ms.unwrap() >= 30_000, "{view:?}");
@@ -66,9 +66,9 @@
 }
 
 #[tokio::test]
-async fn a_request_whose_time_passed_meanwhile_reaches_no_upstream() {
-    let held = suspendable().await;
-    let mut stream = TcpStream::connect(held.clients).await.unwrap();
+async fn a_request_whose_deadline_passed_during_suspension_reaches_no_upstream() {
+    let suspendable = start_suspendable().await;
+    let mut stream = TcpStream::connect(suspendable.clients).await.unwrap();
     let dialect = Dialect::default();
     let (id, deadline) = (&dialect.request_id, &dialect.deadline_ms);
     let head = format!(
@@ -76,62 +76,62 @@
          content-length: 4\r\n\r\nbo"
     );
     stream.write_all(head.as_bytes()).await.unwrap();
-    let begun = || {
-        held.edge
+    let head_received = || {
+        suspendable.edge
             .context()
             .figures_text()
             .contains("requests_in_flight 1")
     };
-    eventually("the box has the head", begun).await;
-    held.clock.skip(SUSPENDED);
+    eventually("the box has the head", head_received).await;
+    suspendable.clock.skip(SUSPENSION);
     stream.write_all(b"dy").await.unwrap();
     let mut answer = vec![0; 12];
     stream.read_exact(&mut answer).await.unwrap();
     assert_eq!(String::from_utf8_lossy(&answer), "HTTP/1.1 503");
-    assert!(held.upstream.seen().is_empty());
+    assert!(suspendable.upstream.seen().is_empty());
 }
 
 #[tokio::test]
-async fn a_connection_that_rested_meanwhile_carries_nothing_that_must_not_run_twice() {
-    let held = suspendable().await;
+async fn a_connection_idle_during_suspension_carries_no_request_that_must_not_run_twice() {
+    let suspendable = start_suspendable().await;
     for _ in 0..3 {
-        let answer = call(held.clients, request("POST", "/once/1", "body")).await;
+        let answer = call(suspendable.clients, request("POST", "/once/1", "body")).await;
         assert_eq!(answer.unwrap().status, 200);
     }
-    assert_eq!(held.upstream.connections(), 1, "it is kept");
-    held.clock.skip(SUSPENDED);
-    let answer = call(held.clients, request("POST", "/once/1", "body")).await;
+    assert_eq!(suspendable.upstream.connections(), 1, "the connection is reused");
+    suspendable.clock.skip(SUSPENSION);
+    let answer = call(suspendable.clients, request("POST", "/once/1", "body")).await;
     assert_eq!(answer.unwrap().status, 200);
-    assert_eq!(held.upstream.connections(), 2);
+    assert_eq!(suspendable.upstream.connections(), 2);
 }
 
 #[tokio::test]
-async fn what_was_shut_out_is_let_out_when_its_time_has_passed() {
-    let held = suspendable().await;
-    let status = held.edge.context().status();
+async fn a_blocked_request_is_released_when_its_time_passes_during_suspension() {
+    let suspendable = start_suspendable().await;
+    let status = suspendable.edge.context().status();
     assert!(status.quarantine.is_empty());
     let path = "/safe/crashing";
     for number in 1..4 {
         let id = format!("upstream-{number}");
         let next = Upstream::start(&id, &Dialect::default()).await.unwrap();
         next.on_path(path, Behaviour::Close);
-        held.store.write(Change::Upstream(record(&next)));
+        suspendable.store.write(Change::Upstream(record(&next)));
     }
-    held.upstream.on_path(path, Behaviour::Close);
-    let shut_out = || {
-        let status = held.edge.context().status();
+    suspendable.upstream.on_path(path, Behaviour::Close);
+    let is_blocked = || {
+        let status = suspendable.edge.context().status();
         status
             .quarantine
             .iter()
-            .any(|held| held.shut_out_for_ms.is_some())
+            .any(|request| request.shut_out_for_ms.is_some())
     };
     let mut tries = 0;
-    while !shut_out() {
-        call(held.clients, request("GET", path, "")).await.unwrap();
+    while !is_blocked() {
+        call(suspendable.clients, request("GET", path, "")).await.unwrap();
         tries += 1;
-        assert!(tries < 400, "it is never shut out");
+        assert!(tries < 400, "the request is never blocked");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    held.clock.skip(SUSPENDED * 100);
-    assert!(!shut_out());
+    suspendable.clock.skip(SUSPENSION * 100);
+    assert!(!is_blocked());
 }
--- a/crates/edge/tests/upstream_signals.rs
+++ b/crates/edge/tests/upstream_signals.rs
@@ -1,4 +1,4 @@
-//! What upstreams say of themselves in their answers.
+//! Signals that upstreams send about themselves in their responses.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -11,22 +11,23 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long requests go on where an upstream should get none.
-const WATCHED: Duration = Duration::from_millis(1_500);
+/// How long requests are sent while an upstream must receive none.
+const OBSERVATION_TIME: Duration = Duration::from_millis(1_500);
 
-/// After it, what was under way as an upstream spoke has arrived.
-const UNDER_WAY: Duration = Duration::from_millis(500);
+/// Time after which requests in flight at the time of a signal have arrived.
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// A rest that lasts for longer than a test, in seconds.
-const LONG_REST: &str = "60";
+/// A `Retry-After` longer than a test, in seconds.
+const LONG_RETRY_AFTER_S: &str = "60";
 
-/// Requests that came to `upstream` from `from` on.
+/// Returns the number of requests that reached `upstream` since `from`.
 fn seen_from(upstream: &Upstream, from: Instant) -> usize {
     let seen = upstream.seen();
     seen.iter().filter(|seen| seen.at >= from).count()
 }
 
-/// A box's answers told that an upstream leaves while the store could not, and the box sent on.
+/// Guards against a box that ignores the leaving signal in responses while the store doesn't
+/// respond.
 #[tokio::test]
 async fn requests_reach_an_upstream_that_said_in_answers_that_it_leaves() {
     let fleet = Fleet::start(BOXES).await;
@@ -35,38 +36,38 @@
         store.set_fault(StoreFault::Silent);
     }
     home.say_leaving(&["1"]);
-    fleet.press(UNDER_WAY).await;
-    let told_at = Instant::now();
-    let answers = fleet.press(WATCHED).await;
-    assert_eq!(seen_from(&home, told_at), 0);
+    fleet.press(SETTLE_TIME).await;
+    let announced_at = Instant::now();
+    let answers = fleet.press(OBSERVATION_TIME).await;
+    assert_eq!(seen_from(&home, announced_at), 0);
     assert_eq!(served(&answers), answers.len(), "the others have room");
 }
 
-/// An upstream refused a request and asked for rest, and the same box sent on.
+/// Guards against a box that ignores the `Retry-After` of an upstream that refused a request.
 #[tokio::test]
 async fn requests_reach_an_upstream_that_asked_for_rest() {
     let fleet = Fleet::start(1).await;
     let home = fleet.home().await;
-    home.ask_for_rest(&[LONG_REST]);
+    home.ask_for_rest(&[LONG_RETRY_AFTER_S]);
     home.always(Behaviour::Refuse);
-    fleet.press(UNDER_WAY).await;
-    let rests_from = Instant::now();
-    let answers = fleet.press(WATCHED).await;
-    let figures = fleet.boxes[0].context().figures_text();
+    fleet.press(SETTLE_TIME).await;
+    let paused_from = Instant::now();
+    let answers = fleet.press(OBSERVATION_TIME).await;
+    let metrics = fleet.boxes[0].context().figures_text();
     let resting = "brasswinch_upstreams{service=\"desk\",state=\"resting\"} 1";
-    assert!(figures.contains(resting), "{figures}");
-    assert_eq!(seen_from(&home, rests_from), 0);
+    assert!(metrics.contains(resting), "{metrics}");
+    assert_eq!(seen_from(&home, paused_from), 0);
     assert_eq!(served(&answers), answers.len(), "the others have room");
 }
 
-/// A rest that can't be meant kept requests from an upstream that served again.
+/// Guards against an invalid `Retry-After` keeping requests from an upstream that serves again.
 #[tokio::test]
-async fn a_rest_that_can_t_be_meant_keeps_requests_away() {
+async fn an_invalid_retry_after_is_ignored() {
     let fleet = Fleet::start(1).await;
     let home = fleet.home().await;
     let endless = "9".repeat(400);
     let date = "Thu, 01 Jan 2026 00:00:00 GMT";
-    for rests in [
+    for retry_afters in [
         &["-1"][..],
         &["NaN"],
         &[""],
@@ -75,44 +76,44 @@
         &[&endless],
         &["3", "3"],
     ] {
-        home.ask_for_rest(rests);
+        home.ask_for_rest(retry_afters);
         home.script([Behaviour::Refuse]);
         let before = home.seen().len();
         let answers = fleet.press(PAUSE * 10).await;
-        assert_eq!(served(&answers), answers.len(), "{rests:?}");
-        assert_eq!(home.seen().len() - before, answers.len(), "{rests:?}");
+        assert_eq!(served(&answers), answers.len(), "{retry_afters:?}");
+        assert_eq!(home.seen().len() - before, answers.len(), "{retry_afters:?}");
     }
 }
 
-/// What can't be a word of leaving emptied a service.
+/// Guards against invalid leaving signals taking all upstreams of a service out of use.
 #[tokio::test]
-async fn what_is_no_word_of_leaving_keeps_requests_away() {
+async fn an_invalid_leaving_signal_is_ignored() {
     let fleet = Fleet::start(1).await;
     let home = fleet.home().await;
     let long = "1".repeat(1_024);
-    for words in [&["0"][..], &["true"], &[""], &[&long], &["1", "1"]] {
-        home.say_leaving(words);
+    for values in [&["0"][..], &["true"], &[""], &[&long], &["1", "1"]] {
+        home.say_leaving(values);
         let before = home.seen().len();
         let answers = fleet.press(PAUSE * 5).await;
-        assert_eq!(served(&answers), answers.len(), "{words:?}");
-        assert_eq!(home.seen().len() - before, answers.len(), "{words:?}");
+        assert_eq!(served(&answers), answers.len(), "{values:?}");
+        assert_eq!(home.seen().len() - before, answers.len(), "{values:?}");
     }
 }
 
-/// Callers were told to come back at once while all upstreams rested.
+/// Guards against a short retry time for clients while all upstreams have asked for a long pause.
 #[tokio::test]
-async fn callers_of_a_service_that_rests_come_back_too_early() {
+async fn clients_retry_only_after_the_pause_that_all_upstreams_asked_for() {
     let fleet = Fleet::start(1).await;
     fleet.home().await;
     for upstream in &fleet.upstreams {
-        upstream.ask_for_rest(&[LONG_REST]);
+        upstream.ask_for_rest(&[LONG_RETRY_AFTER_S]);
         upstream.always(Behaviour::Refuse);
     }
-    fleet.press(UNDER_WAY).await;
-    let rests_from = Instant::now();
+    fleet.press(SETTLE_TIME).await;
+    let paused_from = Instant::now();
     let answers = fleet.press(PAUSE * 10).await;
     for upstream in &fleet.upstreams {
-        assert_eq!(seen_from(upstream, rests_from), 0);
+        assert_eq!(seen_from(upstream, paused_from), 0);
     }
     for answer in answers {
         assert_eq!(answer.status, 503);
@@ -122,36 +123,37 @@
     }
 }
 
-/// An upstream turned cold while the store was silent; its health answers told it, and nobody asked.
+/// Guards against overloading an upstream that turns cold while the store doesn't respond: only its
+/// health responses report it then.
 #[tokio::test]
 async fn an_upstream_that_turns_cold_while_the_store_is_silent_is_pressed() {
-    /// Of 9 requests a second, half as many again, and five.
-    const MOST_PER_S: usize = 18;
+    /// 9 requests per second, half as many again, and five.
+    const MAX_REQUESTS_PER_S: usize = 18;
     let fleet = Fleet::start(BOXES).await;
     let home = fleet.home().await;
     for store in &fleet.stores {
         store.set_fault(StoreFault::Silent);
     }
     home.turn_cold(30);
-    fleet.press(UNDER_WAY * 2).await;
+    fleet.press(SETTLE_TIME * 2).await;
     let from = Instant::now();
     fleet.press(Duration::from_secs(1)).await;
     let seen = seen_from(&home, from);
-    assert!(seen <= MOST_PER_S, "{seen} requests in a second");
+    assert!(seen <= MAX_REQUESTS_PER_S, "{seen} requests in a second");
 }
 
-/// A signal's row on the page of what upstreams say.
+/// A signal's row in the table of the documentation page.
 struct Row<'a> {
     cells: Vec<&'a str>,
 }
 
 impl Row<'_> {
-    /// The last cells name an event, a figure and a test.
+    /// Returns the last three cells: the names of an event, a metric and a test.
     fn named(&self) -> [&str; 3] {
-        let [.., event, figure, test] = self.cells.as_slice() else {
+        let [.., event, metric, test] = self.cells.as_slice() else {
             panic!("{:?}", self.cells);
         };
-        [event, figure, test].map(|cell| cell.trim_matches('`'))
+        [event, metric, test].map(|cell| cell.trim_matches('`'))
     }
 }
 
@@ -166,7 +168,7 @@
     }
 }
 
-/// All source text below `folder`.
+/// Returns the text of all sources below `folder`.
 fn sources(folder: &Path) -> String {
     let mut text = String::new();
     for entry in std::fs::read_dir(folder).unwrap() {
@@ -180,18 +182,19 @@
     text
 }
 
-/// What an upstream said had no event, figure or test, so that nobody missed its effect.
+/// Guards against signals without an event, a metric and a test, whose missing effect would go
+/// unnoticed.
 #[test]
-fn a_signal_has_no_event_figure_or_test() {
+fn every_signal_has_an_event_a_metric_and_a_test() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let text = sources(&crates);
     for signal in UpstreamSignal::ALL {
         let row = row(signal);
-        let [event, figure, test] = row.named();
+        let [event, metric, test] = row.named();
         let numbered = |row: &&EventRow| event.starts_with(&format!("BW{}", row.number));
         assert!(Event::ALL.iter().any(|row| numbered(&row)), "{event}");
-        let figure = figure.trim_start_matches("brasswinch_");
-        assert!(text.contains(&format!("\"{figure}\"")), "{figure}");
+        let metric = metric.trim_start_matches("brasswinch_");
+        assert!(text.contains(&format!("\"{metric}\"")), "{metric}");
         assert!(text.contains(&format!("fn {test}(")), "{test}");
     }
 }
