--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -224,7 +224,7 @@
     body: OutgoingBody,
     active: &ActiveAttempt,
 ) -> ExchangeOutcome {
-    let whole = match &body {
+    let resendable = match &body {
         OutgoingBody::Buffered(bytes) => Some(bytes.clone()),
         OutgoingBody::Streamed(_) => None,
     };
@@ -232,7 +232,7 @@
     let sending = connection.sender().try_send_request(request);
     match timeout_at(head.deadline.timer(), sending).await {
         Ok(Ok(response)) => ExchangeOutcome::Response(response, connection),
-        Ok(Err(mut failure)) => match (failure.take_message(), whole) {
+        Ok(Err(mut failure)) => match (failure.take_message(), resendable) {
             (Some(_), Some(bytes)) => ExchangeOutcome::NotSent(OutgoingBody::Buffered(bytes)),
             (Some(request), None) => ExchangeOutcome::NotSent(OutgoingBody::Streamed(request.into_body())),
             // An upstream that sends unparsable bytes has not crashed.
@@ -326,20 +326,20 @@
         return AttemptOutcome::Refused;
     }
     let mut headers = end_to_end(&parts.headers);
-    let body = match buffered.rest {
+    let body = match buffered.remainder {
         None => {
             connection.reuse();
             active.report_completed();
             headers.remove(header::CONTENT_LENGTH);
             full(buffered.bytes)
         }
-        Some(rest) => {
+        Some(remainder) => {
             let limits = StreamLimits {
                 max_bytes: MAX_RESPONSE_BYTES,
                 until: deadline.timer(),
             };
             let guard = (connection, active);
-            StreamedBody::new(buffered.bytes, rest, limits, guard, |(connection, active)| {
+            StreamedBody::new(buffered.bytes, remainder, limits, guard, |(connection, active)| {
                 connection.reuse();
                 active.report_completed();
             })
--- a/crates/edge/src/body.rs
+++ b/crates/edge/src/body.rs
@@ -37,13 +37,13 @@
     /// The buffered bytes.
     pub(crate) bytes: Bytes,
     /// The remainder, if the body is longer than the limit.
-    pub(crate) rest: Option<Incoming>,
+    pub(crate) remainder: Option<Incoming>,
 }
 
 impl BufferedBody {
     /// Whether the whole body is buffered, so that it can be sent again.
     pub(crate) fn is_complete(&self) -> bool {
-        self.rest.is_none()
+        self.remainder.is_none()
     }
 }
 
@@ -55,12 +55,12 @@
         let length = pieces.len() + first.as_ref().map_or(0, Bytes::len);
         if length > max_buffered {
             let bytes = joined(first, pieces);
-            let rest = Some(body);
-            return Ok(BufferedBody { bytes, rest });
+            let remainder = Some(body);
+            return Ok(BufferedBody { bytes, remainder });
         }
         let Some(frame) = body.frame().await else {
             let bytes = joined(first, pieces);
-            return Ok(BufferedBody { bytes, rest: None });
+            return Ok(BufferedBody { bytes, remainder: None });
         };
         let Ok(data) = frame?.into_data() else {
             continue;
@@ -83,7 +83,7 @@
 /// A body that is streamed: its buffered beginning, then the remainder as it arrives.
 pub(crate) struct StreamedBody<G> {
     beginning: Option<Bytes>,
-    rest: Incoming,
+    remainder: Incoming,
     timer: Pin<Box<Sleep>>,
     /// Bytes that may still arrive.
     allowance: u64,
@@ -93,11 +93,11 @@
 }
 
 impl<G> StreamedBody<G> {
-    /// Streams `beginning`, then `rest`. `guard` is passed to `on_complete` when the body is complete,
-    /// and dropped if it ends early.
+    /// Streams `beginning`, then `remainder`. `guard` is passed to `on_complete` when the body is
+    /// complete, and dropped if it ends early.
     pub(crate) fn new(
         beginning: Bytes,
-        rest: Incoming,
+        remainder: Incoming,
         limits: StreamLimits,
         guard: G,
         on_complete: fn(G),
@@ -105,14 +105,14 @@
         Self {
             allowance: limits.max_bytes.saturating_sub(beginning.len() as u64),
             beginning: Some(beginning),
-            rest,
+            remainder,
             timer: Box::pin(tokio::time::sleep_until(limits.until)),
             guard: Some(guard),
             on_complete: Some(on_complete),
         }
     }
 
-    fn end(&mut self) {
+    fn complete(&mut self) {
         if let (Some(guard), Some(on_complete)) = (self.guard.take(), self.on_complete.take()) {
             on_complete(guard);
         }
@@ -139,21 +139,21 @@
         if let Some(beginning) = self.beginning.take() {
             return Poll::Ready(Some(Ok(Frame::data(beginning))));
         }
-        match Pin::new(&mut self.rest).poll_frame(cx) {
+        match Pin::new(&mut self.remainder).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
                 let length = frame.data_ref().map_or(0, Bytes::len) as u64;
                 let Some(left) = self.allowance.checked_sub(length) else {
                     return Poll::Ready(Some(Err(BodyError::TooLong)));
                 };
                 self.allowance = left;
-                if self.rest.is_end_stream() {
-                    self.end();
+                if self.remainder.is_end_stream() {
+                    self.complete();
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(error))) => Poll::Ready(Some(Err(error.into()))),
             Poll::Ready(None) => {
-                self.end();
+                self.complete();
                 Poll::Ready(None)
             }
             Poll::Pending => {
@@ -166,13 +166,13 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.beginning.is_none() && self.rest.is_end_stream()
+        self.beginning.is_none() && self.remainder.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
         let beginning = self.beginning.as_ref().map_or(0, Bytes::len) as u64;
-        match self.rest.size_hint().exact() {
-            Some(rest) => SizeHint::with_exact(rest + beginning),
+        match self.remainder.size_hint().exact() {
+            Some(remainder) => SizeHint::with_exact(remainder + beginning),
             None => SizeHint::default(),
         }
     }
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -412,13 +412,13 @@
     // request: without grants, three boxes sent 222 requests in 4 s at a limit of 5 per second; with
     // grants, 21 or 22.
     async fn choose(&self, attempts: &Attempts) -> Result<Chosen, Failure> {
-        let mut asked = 0;
+        let mut grant_requests = 0;
         loop {
             let chosen = self.choose_without_grant(attempts).await?;
-            asked += 1;
+            grant_requests += 1;
             match self.context.take_grant(chosen, self.deadline.left()).await {
                 Ok(chosen) => return Ok(chosen),
-                Err(held_off) if asked == MAX_GRANT_REQUESTS => return Err(held_off.into()),
+                Err(held_off) if grant_requests == MAX_GRANT_REQUESTS => return Err(held_off.into()),
                 // The upstream has no room now, so the next iteration chooses the object's next home.
                 Err(_) => {}
             }
@@ -473,14 +473,14 @@
     }
 
     fn outgoing_body(&self, buffered: BufferedBody, in_force: &InForce) -> OutgoingBody {
-        let Some(rest) = buffered.rest else {
+        let Some(remainder) = buffered.remainder else {
             return OutgoingBody::Buffered(buffered.bytes);
         };
         let limits = StreamLimits {
             max_bytes: in_force.config.limits.max_body_bytes,
             until: self.deadline.timer(),
         };
-        let streamed = StreamedBody::new(buffered.bytes, rest, limits, (), |()| {});
+        let streamed = StreamedBody::new(buffered.bytes, remainder, limits, (), |()| {});
         OutgoingBody::Streamed(streamed.map_err(|error: BodyError| error).boxed())
     }
 }
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/figures.rs
@@ -99,8 +99,8 @@
             "",
             dropped_lines() as f64,
         );
-        let held = self.held_bytes.load(Ordering::Relaxed) as f64;
-        line(&mut text, "held_body_bytes", "", held);
+        let buffered = self.held_bytes.load(Ordering::Relaxed) as f64;
+        line(&mut text, "held_body_bytes", "", buffered);
         let swim = self.swim();
         let alive = swim.members().filter(|m| m.liveness == Liveness::Alive);
         line(&mut text, "members_alive", "", alive.count() as f64);
@@ -171,12 +171,12 @@
     /// Writes the number of suspected and blocked requests by service.
     fn write_quarantine(&self, text: &mut String) {
         let mut counts: BTreeMap<(Service, &'static str), u64> = BTreeMap::new();
-        for held in self.quarantine_status() {
-            let state = match held.shut_out_for_ms {
+        for request in self.quarantine_status() {
+            let state = match request.shut_out_for_ms {
                 Some(_) => "shut_out",
                 None => "suspected",
             };
-            *counts.entry((held.service, state)).or_default() += 1;
+            *counts.entry((request.service, state)).or_default() += 1;
         }
         for ((service, state), count) in counts.into_iter().take(MAX_SERVICES) {
             let labels = format!("service=\"{service}\",state=\"{state}\"");
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -93,7 +93,7 @@
             stage: self.lifecycle(),
             duty: self.duty(),
             reaches_store,
-            config_version: in_force.as_ref().map(|held| held.config.version.0),
+            config_version: in_force.as_ref().map(|in_force| in_force.config.version.0),
             views: SCOPES.map(|scope| self.view_status(scope)).to_vec(),
             evacuated_zones,
             services,
@@ -157,7 +157,7 @@
             .try_for_each(|limit| writeln!(f, "limit of {limit}"))?;
         self.quarantine
             .iter()
-            .try_for_each(|held| writeln!(f, "request {held}"))?;
+            .try_for_each(|request| writeln!(f, "request {request}"))?;
         let (size, alive) = (self.fleet_size, self.boxes_alive);
         writeln!(f, "boxes: {size} share limits; others alive: {alive}")?;
         for unresponsive in &self.boxes_unresponsive {
