--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -166,7 +166,7 @@
             ExchangeOutcome::Response(response, connection) => {
                 return read_response(response, connection, active, outgoing.deadline).await;
             }
-            // The upstream closed the idle connection. Connecting anew shows whether it still serves.
+            // The upstream closed the idle connection. A new one shows whether it still serves.
             ExchangeOutcome::NotSent(unsent) if is_pooled => body = unsent,
             ExchangeOutcome::NotSent(unsent) => {
                 active.outcome = UpstreamOutcome::Unreachable;
@@ -376,7 +376,7 @@
         }
     }
 
-    /// Whether a response belongs to this request: it must repeat the request's id, if there is one.
+    /// Whether a response belongs to this request: it must repeat the request's id, if any.
     fn matches_request(&self, headers: &HeaderMap) -> bool {
         let dialect = &self.context.dialect;
         match (&self.request_id, headers.get(&dialect.request_id)) {
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -231,8 +231,8 @@
         let mut attempts = Attempts::new(&buffered);
         let mut body = Some(self.outgoing_body(buffered, in_force));
         loop {
-            // A client repeats a crashing request at other boxes, which haven't seen it before: without
-            // this check 40 repeats crashed 31 to 36 upstreams, with it 3 or 4.
+            // A client repeats a crashing request at other boxes, which haven't seen it before:
+            // without this check 40 repeats crashed 31 to 36 upstreams, with it 3 or 4.
             self.check_quarantine(&mut attempts)
                 .map_err(|failure| attempts.corrected_failure(failure))?;
             let chosen = self
@@ -409,8 +409,8 @@
 
     /// Chooses an upstream whose request limit leaves room for the request.
     // An upstream's limit holds for all boxes together, so the box that owns the limit grants each
-    // request: without grants, three boxes sent 222 requests in 4 s at a limit of 5 per second; with
-    // grants, 21 or 22.
+    // request: at a limit of 5 per second three boxes sent 222 requests in 4 s without grants, and
+    // 21 or 22 with them.
     async fn choose(&self, attempts: &Attempts) -> Result<Chosen, Failure> {
         let mut grant_requests = 0;
         loop {
@@ -419,7 +419,7 @@
             match self.context.take_grant(chosen, self.deadline.left()).await {
                 Ok(chosen) => return Ok(chosen),
                 Err(held_off) if grant_requests == MAX_GRANT_REQUESTS => return Err(held_off.into()),
-                // The upstream has no room now, so the next iteration chooses the object's next home.
+                // The upstream has no room, so the next iteration chooses the object's next home.
                 Err(_) => {}
             }
         }
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -23,7 +23,7 @@
 /// Idle time after which a connection is closed if no configuration is in force.
 const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(60);
 
-/// Added to the idle limit, so that a client that observes the limit never uses a closed connection.
+/// Added to the idle limit, so that a client that observes it never uses a closed connection.
 const IDLE_MARGIN: Duration = Duration::from_secs(2);
 
 /// Maximum size of a connection's buffer, which bounds the head of a request.
--- a/crates/edge/tests/slow_links.rs
+++ b/crates/edge/tests/slow_links.rs
@@ -41,8 +41,8 @@
     large
 }
 
-/// Starts a box with access to the store. Returns it with its address behind the slow link, where it
-/// answers gossip like any other member.
+/// Starts a box with access to the store. Returns it with its address behind the slow link, at which
+/// gossip is answered as by any other member.
 async fn start_behind_slow_link(store: &MemoryStore) -> (EdgeHandle, SocketAddr, FaultProxy) {
     let far = start(
         settings("far", Vec::new()),
