--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -32,7 +32,7 @@
 /// sent to another upstream if the first one fails.
 const MAX_BUFFERED_BODY_BYTES: usize = 1024 * 1024;
 
-/// Attempts per request in which nothing could be sent to the upstream.
+/// Maximum attempts per request in which nothing can be sent to the upstream.
 const MAX_UNREACHABLE_ATTEMPTS: u32 = 4;
 
 /// Owners of upstream limits that are asked for one request, one after the other. Each costs a
