--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt to send a request to one upstream, and its outcome.
 
 use crate::asking::Asked;
-use crate::body::{AnyBody, BodyError, StreamLimits, StreamedBody, full, buffer_body};
+use crate::body::{AnyBody, BodyError, StreamLimits, StreamedBody, buffer_body, full};
 use crate::clock::Deadline;
 use crate::connections::Connection;
 use crate::context::Context;
@@ -234,7 +234,9 @@
         Ok(Ok(response)) => ExchangeOutcome::Response(response, connection),
         Ok(Err(mut failure)) => match (failure.take_message(), resendable) {
             (Some(_), Some(bytes)) => ExchangeOutcome::NotSent(OutgoingBody::Buffered(bytes)),
-            (Some(request), None) => ExchangeOutcome::NotSent(OutgoingBody::Streamed(request.into_body())),
+            (Some(request), None) => {
+                ExchangeOutcome::NotSent(OutgoingBody::Streamed(request.into_body()))
+            }
             // An upstream that sends unparsable bytes has not crashed.
             (None, _) if failure.error().is_parse() => ExchangeOutcome::InvalidResponse,
             (None, _) => ExchangeOutcome::ConnectionLost,
@@ -245,7 +247,11 @@
 
 /// Builds the upstream's request from the client's: adds the remaining time, the intended
 /// upstream and the workspace's name, and removes the key where it is meant for this system.
-fn upstream_request(head: &Head<'_>, body: OutgoingBody, active: &ActiveAttempt) -> Request<AnyBody> {
+fn upstream_request(
+    head: &Head<'_>,
+    body: OutgoingBody,
+    active: &ActiveAttempt,
+) -> Request<AnyBody> {
     let dialect = &active.context.dialect;
     let mut headers = end_to_end(&head.parts.headers);
     headers.remove(&dialect.workspace);
@@ -308,7 +314,12 @@
     if !refused && parts.status.is_success() && !signals.is_signed {
         return AttemptOutcome::InvalidResponse;
     }
-    let buffered = match timeout_at(deadline.timer(), buffer_body(body, MAX_BUFFERED_RESPONSE_BYTES)).await {
+    let buffered = match timeout_at(
+        deadline.timer(),
+        buffer_body(body, MAX_BUFFERED_RESPONSE_BYTES),
+    )
+    .await
+    {
         Ok(Ok(buffered)) => buffered,
         Ok(Err(_)) => return AttemptOutcome::ConnectionLost,
         Err(_) => return AttemptOutcome::TimedOut,
@@ -339,10 +350,16 @@
                 until: deadline.timer(),
             };
             let guard = (connection, active);
-            StreamedBody::new(buffered.bytes, remainder, limits, guard, |(connection, active)| {
-                connection.reuse();
-                active.report_completed();
-            })
+            StreamedBody::new(
+                buffered.bytes,
+                remainder,
+                limits,
+                guard,
+                |(connection, active)| {
+                    connection.reuse();
+                    active.report_completed();
+                },
+            )
             .map_err(|error: BodyError| error)
             .boxed()
         }
@@ -370,7 +387,8 @@
 
     /// Applies the signals in the upstream's response.
     fn apply_signals(&mut self, signals: &UpstreamSignals) {
-        self.context.apply_upstream_signals(&self.choice, self.grant, signals);
+        self.context
+            .apply_upstream_signals(&self.choice, self.grant, signals);
         if let (Some(report), Some(asked)) = (signals.load, &mut self.asked) {
             asked.reported(report);
         }
--- a/crates/edge/src/body.rs
+++ b/crates/edge/src/body.rs
@@ -48,7 +48,10 @@
 }
 
 /// Buffers a body up to `max_buffered` bytes; a longer one is buffered in part.
-pub(crate) async fn buffer_body(mut body: Incoming, max_buffered: usize) -> Result<BufferedBody, BodyError> {
+pub(crate) async fn buffer_body(
+    mut body: Incoming,
+    max_buffered: usize,
+) -> Result<BufferedBody, BodyError> {
     let mut pieces = BytesMut::new();
     let mut first: Option<Bytes> = None;
     loop {
@@ -60,7 +63,10 @@
         }
         let Some(frame) = body.frame().await else {
             let bytes = joined(first, pieces);
-            return Ok(BufferedBody { bytes, remainder: None });
+            return Ok(BufferedBody {
+                bytes,
+                remainder: None,
+            });
         };
         let Ok(data) = frame?.into_data() else {
             continue;
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -10,7 +10,7 @@
 use crate::clock::Deadline;
 use crate::context::{Context, InForce};
 use crate::counted::{BufferedBytes, InFlight};
-use crate::failure::{LoggedChoice, Failure, OptionalDigest, Attempts};
+use crate::failure::{Attempts, Failure, LoggedChoice, OptionalDigest};
 use crate::quotas::Permit;
 use crate::request::{RequestFacts, request_id};
 use crate::upstream_limits::Grant;
@@ -77,14 +77,21 @@
     let id = request_id(parts, &context.dialect);
     let (path, took) = (parts.uri.path(), arrived.elapsed().as_millis());
     let config = context.in_force.load();
-    let config = config.as_ref().map_or(0, |in_force| in_force.config.version.0);
+    let config = config
+        .as_ref()
+        .map_or(0, |in_force| in_force.config.version.0);
     let detail = format!("id={id} path={path} config={config} cause={kind} ms={took}");
     match failure {
         Failure::AtUpstream {
-            logged_choice, digest, ..
+            logged_choice,
+            digest,
+            ..
         } => {
             let digest = OptionalDigest(digest.as_ref());
-            emit(event, format_args!("{detail} digest={digest} {logged_choice}"));
+            emit(
+                event,
+                format_args!("{detail} digest={digest} {logged_choice}"),
+            );
         }
         Failure::Refused {
             retry_after_ms,
@@ -98,7 +105,9 @@
             retry_after_ms,
         } => emit(
             event,
-            format_args!("{detail} upstream=- workspace={workspace} retry_after_ms={retry_after_ms}"),
+            format_args!(
+                "{detail} upstream=- workspace={workspace} retry_after_ms={retry_after_ms}"
+            ),
         ),
         Failure::ShutOut {
             retry_after_ms,
@@ -192,7 +201,9 @@
 
 /// Returns the bytes to reserve for buffering a body of the declared length.
 fn reservation_bytes(declared: u64) -> usize {
-    usize::try_from(declared).map_or(MAX_BUFFERED_BODY_BYTES, |length| length.min(MAX_BUFFERED_BODY_BYTES))
+    usize::try_from(declared).map_or(MAX_BUFFERED_BODY_BYTES, |length| {
+        length.min(MAX_BUFFERED_BODY_BYTES)
+    })
 }
 
 impl RoutedRequest<'_> {
@@ -214,7 +225,12 @@
     }
 
     async fn read_body(&self, body: Incoming) -> Result<BufferedBody, Failure> {
-        match timeout_at(self.deadline.timer(), buffer_body(body, MAX_BUFFERED_BODY_BYTES)).await {
+        match timeout_at(
+            self.deadline.timer(),
+            buffer_body(body, MAX_BUFFERED_BODY_BYTES),
+        )
+        .await
+        {
             Ok(Ok(buffered)) => Ok(buffered),
             Ok(Err(_)) => Err(ErrorKind::MalformedRequest.into()),
             Err(_) => Err(ErrorKind::TimeoutBeforeSend.into()),
@@ -298,7 +314,8 @@
     fn report_connection_lost(&self, attempts: &Attempts, life: &UpstreamLife) {
         let suspect = self.suspect(attempts);
         let digest = self.digest(attempts);
-        self.context.run_broke(digest, &suspect, life, attempts.began);
+        self.context
+            .run_broke(digest, &suspect, life, attempts.began);
     }
 
     fn identity<'a>(&'a self, attempts: &'a Attempts) -> RequestIdentity<'a> {
@@ -382,7 +399,9 @@
         let id = request_id(self.parts, &self.context.dialect);
         let (route, service, config) = (&self.route.name, &self.service, self.config.0);
         let took = self.arrived.elapsed().as_millis();
-        let workspace = self.workspace.map_or("-", |workspace| workspace.name.as_str());
+        let workspace = self
+            .workspace
+            .map_or("-", |workspace| workspace.name.as_str());
         emit(
             Event::RequestServed,
             format_args!(
@@ -418,7 +437,9 @@
             grant_requests += 1;
             match self.context.take_grant(chosen, self.deadline.left()).await {
                 Ok(chosen) => return Ok(chosen),
-                Err(held_off) if grant_requests == MAX_GRANT_REQUESTS => return Err(held_off.into()),
+                Err(held_off) if grant_requests == MAX_GRANT_REQUESTS => {
+                    return Err(held_off.into());
+                }
                 // The upstream has no room, so the next iteration chooses the object's next home.
                 Err(_) => {}
             }
@@ -430,17 +451,24 @@
         let tried = attempts.upstreams.as_slice();
         // A suspected request is placed by its digest, so that other requests for its object are
         // not on the upstream that it may crash.
-        let placement_key = attempts.placement_key.as_ref().map(|digest| digest.as_slice());
+        let placement_key = attempts
+            .placement_key
+            .as_ref()
+            .map(|digest| digest.as_slice());
         let wanted = Wanted {
             service: &self.service,
             object: placement_key.or(self.facts.object),
             rank: Rank {
-                workspace: self.workspace.map_or(0, |workspace| workspace.config.priority),
+                workspace: self
+                    .workspace
+                    .map_or(0, |workspace| workspace.config.priority),
                 route: self.route.priority,
             },
             regions: RegionLimits {
                 route: &self.route.allowed_regions,
-                workspace: self.workspace.map(|workspace| &workspace.config.allowed_regions),
+                workspace: self
+                    .workspace
+                    .map(|workspace| &workspace.config.allowed_regions),
             },
             tried,
         };
--- a/crates/edge/src/health.rs
+++ b/crates/edge/src/health.rs
@@ -4,7 +4,7 @@
 //! responses; while the store doesn't respond, these are the only source. One box probes each
 //! upstream and notifies the others.
 
-use crate::body::{AnyBody, full, buffer_body};
+use crate::body::{AnyBody, buffer_body, full};
 use crate::connections::Connection;
 use crate::context::{Context, Lifecycle};
 use crate::datagram::Datagram;
@@ -255,7 +255,9 @@
 
     fn record_cold(&self, notice: &ColdNews, source: &str) {
         let now = self.clock.now();
-        let is_new = self.placement().turned_cold(&notice.life, notice.for_ms, now);
+        let is_new = self
+            .placement()
+            .turned_cold(&notice.life, notice.for_ms, now);
         if is_new {
             let (upstream, for_ms) = (&notice.life.upstream, notice.for_ms);
             emit(
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -9,8 +9,8 @@
 mod transfer;
 
 use crate::context::Context;
-use replies::ReplyCache;
 use brasswinch_routing::{CatchUp, ConfigMark, Revision, Scope};
+use replies::ReplyCache;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/edge/src/relay/replies.rs
+++ b/crates/edge/src/relay/replies.rs
@@ -77,7 +77,11 @@
         Ok(OutgoingReply { encoded, _permit })
     }
 
-    fn encoded(&self, context: &Context, request: ChangesRequest) -> Result<EncodedMessage, TransferError> {
+    fn encoded(
+        &self,
+        context: &Context,
+        request: ChangesRequest,
+    ) -> Result<EncodedMessage, TransferError> {
         let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
         let fleet = context.fleet();
         let revision = fleet.newest(request.scope);
--- a/crates/edge/src/relay/transfer.rs
+++ b/crates/edge/src/relay/transfer.rs
@@ -135,7 +135,10 @@
     let header = next_chunk(socket, 0, 0).await?;
     let header: MessageHeader = ciborium::from_reader(&header[..]).map_err(malformed_error)?;
     if header.bytes > MAX_MESSAGE_BYTES {
-        return Err(malformed_error(format_args!("{} bytes exceed the maximum size", header.bytes)));
+        return Err(malformed_error(format_args!(
+            "{} bytes exceed the maximum size",
+            header.bytes
+        )));
     }
     let mut body = Vec::new();
     while body.len() < header.bytes {
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -61,7 +61,9 @@
     /// Returns when the request, which has just arrived, must have its final response.
     pub(crate) fn deadline(&self, clock: &Clock, timeout_s: Option<f64>) -> Deadline {
         let route_timeout = timeout_s.map_or(DEFAULT_TIMEOUT, Duration::from_secs_f64);
-        let timeout = self.client_timeout.map_or(route_timeout, |timeout| timeout.min(route_timeout));
+        let timeout = self
+            .client_timeout
+            .map_or(route_timeout, |timeout| timeout.min(route_timeout));
         clock.after(timeout)
     }
 }
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -125,7 +125,11 @@
         let count = swim.members().filter(|member| is_alive(member.liveness));
         let unresponsive = swim.members().filter(|member| !is_alive(member.liveness));
         let unresponsive = unresponsive.map(|member| member.record.id.clone());
-        (swim.me().reaches_store, count.count(), unresponsive.collect())
+        (
+            swim.me().reaches_store,
+            count.count(),
+            unresponsive.collect(),
+        )
     }
 }
 
@@ -137,7 +141,11 @@
             Some(version) => writeln!(f, "configuration: version {version}")?,
             None => writeln!(f, "configuration: none")?,
         }
-        let reachability = if self.reaches_store { "reachable" } else { "not reachable" };
+        let reachability = if self.reaches_store {
+            "reachable"
+        } else {
+            "not reachable"
+        };
         writeln!(f, "store: {reachability}; duty {:?}", self.duty)?;
         self.views.iter().try_for_each(|view| write!(f, "{view}"))?;
         for zone in &self.evacuated_zones {
--- a/crates/edge/src/upstream_signals.rs
+++ b/crates/edge/src/upstream_signals.rs
@@ -75,7 +75,9 @@
         signals.load = signals.value_or_record(UpstreamSignal::Load, load(headers, &dialect.load));
         signals.limit = signals.limit(response, &dialect.limit);
         let leaving = leaving(headers, &dialect.leaving);
-        signals.is_leaving = signals.value_or_record(UpstreamSignal::Leaving, leaving).is_some();
+        signals.is_leaving = signals
+            .value_or_record(UpstreamSignal::Leaving, leaving)
+            .is_some();
         // If the request ran, `Retry-After` concerns this request, not the upstream.
         let was_refused = signals.did_not_run || response.status == StatusCode::SERVICE_UNAVAILABLE;
         if was_refused {
@@ -117,7 +119,12 @@
 
 impl Context {
     /// Applies the signals in a response of the chosen upstream.
-    pub(crate) fn apply_upstream_signals(&self, choice: &Choice, grant: Grant, signals: &UpstreamSignals) {
+    pub(crate) fn apply_upstream_signals(
+        &self,
+        choice: &Choice,
+        grant: Grant,
+        signals: &UpstreamSignals,
+    ) {
         let now = self.clock.now();
         if let Some(report) = signals.load {
             self.placement().reported(choice, report, now);
--- a/crates/edge/src/waiters.rs
+++ b/crates/edge/src/waiters.rs
@@ -22,9 +22,7 @@
 
 impl<A> Waiters<A> {
     fn lock(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<A>>> {
-        self.by_id
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
+        self.by_id.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Registers the request `id`. Must be called before it is sent.
--- a/crates/edge/tests/answers.rs
+++ b/crates/edge/tests/answers.rs
@@ -255,7 +255,10 @@
     let left = tokio::time::timeout(Duration::from_millis(300), calling).await;
     assert!(left.is_err());
     let upstream = site.upstreams[0].clone();
-    common::eventually("the connection to the upstream is closed", || upstream.closed_early() == 1).await;
+    common::eventually("the connection to the upstream is closed", || {
+        upstream.closed_early() == 1
+    })
+    .await;
 }
 
 #[tokio::test]
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -84,7 +84,9 @@
     for far_future in ["1e15", "1.5e22"] {
         let mut request = request("GET", "/safe/1", "");
         let name = Dialect::default().deadline_ms;
-        request.headers_mut().insert(name, far_future.parse().unwrap());
+        request
+            .headers_mut()
+            .insert(name, far_future.parse().unwrap());
         let answer = call(site.clients, request).await.unwrap();
         assert_eq!(answer.status, 200, "{far_future}");
     }
--- a/crates/edge/tests/crashing_requests.rs
+++ b/crates/edge/tests/crashing_requests.rs
@@ -60,13 +60,19 @@
             let (store, started) = (store.clone(), Arc::clone(&started));
             supervisors.push(tokio::spawn(supervise(store, started, place, first)));
         }
-        Self { started, supervisors }
+        Self {
+            started,
+            supervisors,
+        }
     }
 
     /// Returns the number of upstreams that have crashed.
     fn crashes(&self) -> usize {
         let started = self.started.lock().unwrap();
-        started.iter().filter(|upstream| upstream.has_crashed()).count()
+        started
+            .iter()
+            .filter(|upstream| upstream.has_crashed())
+            .count()
     }
 }
 
@@ -132,7 +138,10 @@
     store.write(Change::Config(Arc::new(config(1))));
     let service = Service::start(&store).await;
     let boxes = boxes(&store).await;
-    let clients = boxes.iter().map(|handle| handle.addresses().clients).collect();
+    let clients = boxes
+        .iter()
+        .map(|handle| handle.addresses().clients)
+        .collect();
     (service, boxes, clients)
 }
 
@@ -191,7 +200,10 @@
         tokio::time::sleep(REPEAT_INTERVAL).await;
     }
     let crashes = service.crashes();
-    assert!(crashes <= MAX_CRASHES_BEFORE_DETECTION + MAX_CRASHES_AFTER_DETECTION, "{crashes} ended");
+    assert!(
+        crashes <= MAX_CRASHES_BEFORE_DETECTION + MAX_CRASHES_AFTER_DETECTION,
+        "{crashes} ended"
+    );
     // The innocent request must be served in the end, even if upstreams crashed under it.
     let mut tries = 0;
     for to in clients {
@@ -241,9 +253,15 @@
     first.shutdown_background();
     drop(started);
     let again = boxes(&store).await;
-    let clients: Vec<SocketAddr> = again.iter().map(|handle| handle.addresses().clients).collect();
+    let clients: Vec<SocketAddr> = again
+        .iter()
+        .map(|handle| handle.addresses().clients)
+        .collect();
     let is_blocked = |handle: &EdgeHandle| !handle.context().status().quarantine.is_empty();
-    eventually("all boxes know the request again", || again.iter().all(is_blocked)).await;
+    eventually("all boxes know the request again", || {
+        again.iter().all(is_blocked)
+    })
+    .await;
     assert_eq!(repeat(&service, &clients, 12).await, 0);
 }
 
@@ -284,7 +302,10 @@
     store.write(Change::Config(Arc::new(config(1))));
     let service = Service::start(&store).await;
     let boxes = boxes(&store).await;
-    let clients: Vec<SocketAddr> = boxes.iter().map(|handle| handle.addresses().clients).collect();
+    let clients: Vec<SocketAddr> = boxes
+        .iter()
+        .map(|handle| handle.addresses().clients)
+        .collect();
     repeat(&service, &clients, 12).await;
     eventually("the store holds the request", || store.kept_requests() == 1).await;
     store.confirmed().await.unwrap()
--- a/crates/edge/tests/health.rs
+++ b/crates/edge/tests/health.rs
@@ -50,7 +50,10 @@
     let fleet = Fleet::start(BOXES).await;
     fleet.silence_store();
     fleet.upstreams[0].turn_cold(30);
-    eventually("all boxes know that the upstream is cold", || all_boxes_count_cold(&fleet, 1)).await;
+    eventually("all boxes know that the upstream is cold", || {
+        all_boxes_count_cold(&fleet, 1)
+    })
+    .await;
 }
 
 /// Guards against recording an upstream as cold when another upstream responds at its address.
--- a/crates/edge/tests/leaving_upstreams.rs
+++ b/crates/edge/tests/leaving_upstreams.rs
@@ -119,7 +119,10 @@
         let revision = self.store.write(Change::Upstream(other));
         let shown = format!("store_revision{{scope=\"upstreams\"}} {}", revision.0);
         let context = Arc::clone(self.edge.context());
-        eventually("the change is known", || context.figures_text().contains(&shown)).await;
+        eventually("the change is known", || {
+            context.figures_text().contains(&shown)
+        })
+        .await;
     }
 }
 
@@ -132,9 +135,7 @@
         let id = UpstreamId::new(&fleet.upstreams[number].id);
         fleet.store.write(Change::Gone(ChangeKey::Upstream(id)));
     }
-    fleet
-        .assert_no_requests_after_bound(0..UPSTREAMS - 1)
-        .await;
+    fleet.assert_no_requests_after_bound(0..UPSTREAMS - 1).await;
 }
 
 #[tokio::test]
@@ -155,7 +156,10 @@
     }
     let context = Arc::clone(fleet.edge.context());
     let all = format!("members_alive {WATCHERS}");
-    eventually("all boxes are known", || context.figures_text().contains(&all)).await;
+    eventually("all boxes are known", || {
+        context.figures_text().contains(&all)
+    })
+    .await;
     fleet.end_watch().await;
     fleet.send_requests_for(Duration::from_millis(500)).await;
     fleet.write_leaving_entry(0);
--- a/crates/edge/tests/slow_links.rs
+++ b/crates/edge/tests/slow_links.rs
@@ -159,14 +159,20 @@
     access.set_slow_link(PER_CONFIG);
     let delivered = access.told_configs();
     store.write(Change::Config(Arc::new(config(2))));
-    eventually("a version is being transferred", || access.told_configs() > delivered).await;
+    eventually("a version is being transferred", || {
+        access.told_configs() > delivered
+    })
+    .await;
     for version in 3..20 {
         store.write(Change::Config(Arc::new(config(version))));
     }
     store.write(with_added_route(config(20)));
     has_added_route(&edge).await;
     let delivered = access.told_configs() - delivered;
-    assert!(delivered <= 4, "{delivered} of 19 versions came over the slow link");
+    assert!(
+        delivered <= 4,
+        "{delivered} of 19 versions came over the slow link"
+    );
 }
 
 #[tokio::test]
--- a/crates/edge/tests/suspended_boxes.rs
+++ b/crates/edge/tests/suspended_boxes.rs
@@ -77,7 +77,8 @@
     );
     stream.write_all(head.as_bytes()).await.unwrap();
     let head_received = || {
-        suspendable.edge
+        suspendable
+            .edge
             .context()
             .figures_text()
             .contains("requests_in_flight 1")
@@ -98,7 +99,11 @@
         let answer = call(suspendable.clients, request("POST", "/once/1", "body")).await;
         assert_eq!(answer.unwrap().status, 200);
     }
-    assert_eq!(suspendable.upstream.connections(), 1, "the connection is reused");
+    assert_eq!(
+        suspendable.upstream.connections(),
+        1,
+        "the connection is reused"
+    );
     suspendable.clock.skip(SUSPENSION);
     let answer = call(suspendable.clients, request("POST", "/once/1", "body")).await;
     assert_eq!(answer.unwrap().status, 200);
@@ -127,7 +132,9 @@
     };
     let mut tries = 0;
     while !is_blocked() {
-        call(suspendable.clients, request("GET", path, "")).await.unwrap();
+        call(suspendable.clients, request("GET", path, ""))
+            .await
+            .unwrap();
         tries += 1;
         assert!(tries < 400, "the request is never blocked");
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/edge/tests/upstream_signals.rs
+++ b/crates/edge/tests/upstream_signals.rs
@@ -81,7 +81,11 @@
         let before = home.seen().len();
         let answers = fleet.press(PAUSE * 10).await;
         assert_eq!(served(&answers), answers.len(), "{retry_afters:?}");
-        assert_eq!(home.seen().len() - before, answers.len(), "{retry_afters:?}");
+        assert_eq!(
+            home.seen().len() - before,
+            answers.len(),
+            "{retry_afters:?}"
+        );
     }
 }
 
