--- a/crates/edge/src/asking.rs
+++ b/crates/edge/src/asking.rs
@@ -19,10 +19,10 @@
 
 /// How long a coordinator is skipped after a missed reply. It may be dead, which the membership
 /// detects in a second or two.
-const SILENT_FOR: Duration = Duration::from_millis(500);
+const UNREACHABLE_FOR: Duration = Duration::from_millis(500);
 
 /// Maximum plausible fullness of an upstream, in multiples of its slots.
-const MOST_FULLNESS: f32 = 1_000.0;
+const MAX_FULLNESS: f32 = 1_000.0;
 
 /// Pending requests for advice, and coordinators that did not reply.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     socket: Arc<UdpSocket>,
     waiters: Waiters<Advice>,
     /// Unreachable coordinators, each with when to try it again.
-    silent: Mutex<HashMap<BoxId, Instant>>,
+    unreachable: Mutex<HashMap<BoxId, Instant>>,
 }
 
 impl Asking {
@@ -39,7 +39,7 @@
         Self {
             socket,
             waiters: Waiters::default(),
-            silent: Mutex::default(),
+            unreachable: Mutex::default(),
         }
     }
 }
@@ -52,35 +52,35 @@
 pub(crate) struct Asked {
     context: Arc<Context>,
     /// The coordinator's address; `None` if it is this box.
-    keeper: Option<SocketAddr>,
-    ending: Ending,
+    coordinator: Option<SocketAddr>,
+    completion: Ending,
 }
 
 impl Asked {
     /// Records that the request is sent to the upstream of `choice`.
     pub(crate) fn sent_to(&mut self, choice: &Choice) {
-        self.ending.upstream = Some(choice.upstream.clone());
-        self.ending.started = choice.started;
+        self.completion.upstream = Some(choice.upstream.clone());
+        self.completion.started = choice.started;
     }
 
     /// Records the upstream's load report.
     pub(crate) fn reported(&mut self, report: LoadReport) {
-        self.ending.report = Some(report);
+        self.completion.report = Some(report);
     }
 
     /// Records the outcome of the request.
     pub(crate) fn ended(&mut self, outcome: UpstreamOutcome) {
-        self.ending.outcome = outcome;
+        self.completion.outcome = outcome;
     }
 }
 
 impl Drop for Asked {
     fn drop(&mut self) {
-        match self.keeper {
-            None => self.context.hear_ending(&self.ending),
-            Some(keeper) => {
-                let ending = Datagram::Ending(self.ending.clone());
-                self.context.send_datagram(&ending, keeper);
+        match self.coordinator {
+            None => self.context.handle_completion(&self.completion),
+            Some(coordinator) => {
+                let completion = Datagram::Ending(self.completion.clone());
+                self.context.send_datagram(&completion, coordinator);
             }
         }
     }
@@ -98,13 +98,13 @@
     let question = context
         .placement()
         .question(wanted, rand::random(), left_ms, now);
-    let Some((keeper, question)) = question else {
+    let Some((coordinator, question)) = question else {
         return (None, None);
     };
-    let asked = |keeper| Asked {
+    let asked = |coordinator| Asked {
         context: Arc::clone(context),
-        keeper,
-        ending: Ending {
+        coordinator,
+        completion: Ending {
             id: question.id,
             service: question.service.clone(),
             object: question.object,
@@ -114,43 +114,43 @@
             report: None,
         },
     };
-    if keeper == context.settings.id {
+    if coordinator == context.settings.id {
         let advice = context.placement().advise(&question, now);
         return (Some(asked(None)), advice);
     }
-    let Some(address) = context.peer_address(&keeper) else {
+    let Some(address) = context.peer_address(&coordinator) else {
         return (None, None);
     };
-    if context.asking.is_silent(&keeper) {
+    if context.asking.is_unreachable(&coordinator) {
         // It may still receive the report, and needs it to track its upstreams' objects.
         return (Some(asked(Some(address))), None);
     }
     let asked = asked(Some(address));
-    let advice = context.ask_other(&keeper, address, question).await;
+    let advice = context.query_peer(&coordinator, address, question).await;
     (Some(asked), advice)
 }
 
 impl Asking {
-    fn is_silent(&self, keeper: &BoxId) -> bool {
-        let mut silent = lock(&self.silent);
-        silent.retain(|_, until| Instant::now() < *until);
-        silent.contains_key(keeper)
+    fn is_unreachable(&self, coordinator: &BoxId) -> bool {
+        let mut unreachable = lock(&self.unreachable);
+        unreachable.retain(|_, until| Instant::now() < *until);
+        unreachable.contains_key(coordinator)
     }
 
-    fn is_heard(&self, keeper: &BoxId) {
-        lock(&self.silent).remove(keeper);
+    fn mark_reachable(&self, coordinator: &BoxId) {
+        lock(&self.unreachable).remove(coordinator);
     }
 
-    fn was_silent(&self, keeper: &BoxId) {
-        let until = Instant::now() + SILENT_FOR;
-        lock(&self.silent).insert(keeper.clone(), until);
+    fn mark_unreachable(&self, coordinator: &BoxId) {
+        let until = Instant::now() + UNREACHABLE_FOR;
+        lock(&self.unreachable).insert(coordinator.clone(), until);
     }
 }
 
 impl Context {
-    async fn ask_other(
+    async fn query_peer(
         &self,
-        keeper: &BoxId,
+        coordinator: &BoxId,
         address: SocketAddr,
         question: Question,
     ) -> Option<Advice> {
@@ -158,14 +158,14 @@
         self.send_datagram(&Datagram::Question(question), address);
         let advice = waiting.within(self.settings.keeper_wait).await;
         match advice {
-            Some(_) => self.asking.is_heard(keeper),
-            None => self.asking.was_silent(keeper),
+            Some(_) => self.asking.mark_reachable(coordinator),
+            None => self.asking.mark_unreachable(coordinator),
         }
         advice
     }
 
     /// Replies to another box's query.
-    pub(crate) fn hear_question(&self, question: &Question, from: SocketAddr) {
+    pub(crate) fn handle_advice_query(&self, question: &Question, from: SocketAddr) {
         let now = self.clock.now();
         let advice = self.placement().advise(question, now);
         if let Some(advice) = advice {
@@ -174,8 +174,8 @@
     }
 
     /// Handles a coordinator's reply.
-    pub(crate) fn hear_advice(&self, advice: Advice, from: SocketAddr) {
-        if !(0.0..=MOST_FULLNESS).contains(&advice.fullness) {
+    pub(crate) fn handle_advice(&self, advice: Advice, from: SocketAddr) {
+        if !(0.0..=MAX_FULLNESS).contains(&advice.fullness) {
             emit(
                 Event::PeerMalformed,
                 format_args!(
@@ -190,9 +190,9 @@
     }
 
     /// Handles the completion report of a request that this box coordinates.
-    pub(crate) fn hear_ending(&self, ending: &Ending) {
+    pub(crate) fn handle_completion(&self, completion: &Ending) {
         let now = self.clock.now();
-        self.placement().ended_elsewhere(ending, now);
+        self.placement().ended_elsewhere(completion, now);
     }
 
     /// Sends one datagram; drops it if the socket is not ready.
--- a/crates/edge/src/catch_up.rs
+++ b/crates/edge/src/catch_up.rs
@@ -11,38 +11,43 @@
 use tokio::time::{sleep, timeout};
 
 /// How long a box that watches the store waits for its own watch before it asks another box.
-const OWN_WATCH_FIRST: Duration = Duration::from_millis(250);
+const OWN_WATCH_HEAD_START: Duration = Duration::from_millis(250);
 
 /// Pause after a reply that did not help.
 const PAUSE: Duration = Duration::from_millis(100);
 
 /// How long to wait for one box before a second one is asked in parallel. A box that replies
 /// slowly could otherwise block the scope for the whole time limit of a large reply.
-const SECOND_AFTER: Duration = Duration::from_millis(600);
+const HEDGE_DELAY: Duration = Duration::from_millis(600);
 
 /// Requests updates whenever another box reports a newer revision of `scope`. Each scope has
 /// its own task: leaving upstreams must not wait for a large configuration.
 pub(crate) async fn catch_up(context: Arc<Context>, scope: Scope) {
     let mut sources = NewsSources::default();
     loop {
-        context.heard.notified(scope).await;
-        if ahead(&context, scope).is_empty() {
+        context.peer_updates.notified(scope).await;
+        if peers_ahead(&context, scope).is_empty() {
             continue;
         }
         if context.watches_store() && context.fleet().newest(scope).is_some() {
-            sleep(OWN_WATCH_FIRST).await;
+            sleep(OWN_WATCH_HEAD_START).await;
         }
-        let (candidates, now) = (ahead(&context, scope), context.clock.now());
+        let (candidates, now) = (peers_ahead(&context, scope), context.clock.now());
         if let Some(source) = sources.choose(&candidates, rand::random(), now) {
-            ask(&context, scope, source, &mut sources).await;
+            request_updates(&context, scope, source, &mut sources).await;
         }
     }
 }
 
-async fn ask(context: &Context, scope: Scope, first: Candidate, sources: &mut NewsSources) {
-    let (source, answered) = ask_one_or_two(context, scope, first, sources).await;
-    match answered {
-        Ok(answered) => learn(context, source.peer, scope, answered),
+async fn request_updates(
+    context: &Context,
+    scope: Scope,
+    first: Candidate,
+    sources: &mut NewsSources,
+) {
+    let (source, reply) = request_with_hedge(context, scope, first, sources).await;
+    match reply {
+        Ok(reply) => apply_reply(context, source.peer, scope, reply),
         Err(error) => emit(Event::PeerDown, format_args!("{}: {error}", source.peer)),
     }
     if context.fleet().newest(scope) >= Some(source.revision) {
@@ -55,69 +60,69 @@
 
 /// Requests updates from `first`, and also from another box if the reply is slow. Returns the
 /// first complete reply.
-async fn ask_one_or_two(
+async fn request_with_hedge(
     context: &Context,
     scope: Scope,
     first: Candidate,
     sources: &mut NewsSources,
 ) -> (Candidate, Result<Answered, RelayError>) {
-    let mut asking = pin!(relay::ask(context, first.peer, scope));
-    if let Ok(answered) = timeout(SECOND_AFTER, &mut asking).await {
-        return (first, answered);
+    let mut first_request = pin!(relay::ask(context, first.peer, scope));
+    if let Ok(reply) = timeout(HEDGE_DELAY, &mut first_request).await {
+        return (first, reply);
     }
     let now = context.clock.now();
     sources.failed(first.peer, now);
-    let mut others = ahead(context, scope);
+    let mut others = peers_ahead(context, scope);
     others.retain(|other| other.peer != first.peer);
     let Some(second) = sources.choose(&others, rand::random(), now) else {
-        return (first, asking.await);
+        return (first, first_request.await);
     };
-    let mut asking_second = pin!(relay::ask(context, second.peer, scope));
+    let mut second_request = pin!(relay::ask(context, second.peer, scope));
     tokio::select! {
-        answered = &mut asking => match answered {
-            Ok(_) => (first, answered),
-            Err(_) => (second, asking_second.await),
+        reply = &mut first_request => match reply {
+            Ok(_) => (first, reply),
+            Err(_) => (second, second_request.await),
         },
-        answered = &mut asking_second => match answered {
-            Ok(_) => (second, answered),
-            Err(_) => (first, asking.await),
+        reply = &mut second_request => match reply {
+            Ok(_) => (second, reply),
+            Err(_) => (first, first_request.await),
         },
     }
 }
 
-fn learn(context: &Context, peer: SocketAddr, scope: Scope, answered: Answered) {
+fn apply_reply(context: &Context, peer: SocketAddr, scope: Scope, reply: Answered) {
     let now = context.clock.now();
     let age = context.view_age_ms(scope);
-    let learned = context.fleet().catch_up(answered.news, now);
+    let learned = context.fleet().catch_up(reply.news, now);
     match learned {
         Ok(true) => context.publish(),
         Ok(false) => {}
         // The configuration changed while the reply was on its way; the box asks again.
         Err(mismatch) => emit(Event::NewsOutdated, format_args!("{peer}: {mismatch}")),
     }
-    let (bytes, took) = (answered.bytes, answered.took.as_millis());
-    context.told(scope, age, &format_args!("{peer} bytes={bytes} ms={took}"));
+    let (bytes, took) = (reply.bytes, reply.took.as_millis());
+    context.announce_progress(scope, age, &format_args!("{peer} bytes={bytes} ms={took}"));
 }
 
 /// Returns the boxes with a newer revision of `scope`. Where some have the newest revision that
 /// this box has been told exists, returns only those: a box that is barely ahead would make it
 /// ask again.
-fn ahead(context: &Context, scope: Scope) -> Vec<Candidate> {
-    let (mine, awaited) = {
+fn peers_ahead(context: &Context, scope: Scope) -> Vec<Candidate> {
+    let (mine, pending) = {
         let fleet = context.fleet();
         (
             fleet.newest(scope).unwrap_or_default(),
             fleet.awaited(scope).unwrap_or_default(),
         )
     };
-    let mut ahead = beyond(context, scope, mine);
-    if ahead.iter().any(|other| other.revision >= awaited) {
-        ahead.retain(|other| other.revision >= awaited);
+    let mut peers_ahead = peers_beyond(context, scope, mine);
+    if peers_ahead.iter().any(|other| other.revision >= pending) {
+        peers_ahead.retain(|other| other.revision >= pending);
     }
-    ahead
+    peers_ahead
 }
 
-fn beyond(context: &Context, scope: Scope, mine: Revision) -> Vec<Candidate> {
+fn peers_beyond(context: &Context, scope: Scope, mine: Revision) -> Vec<Candidate> {
     let swim = context.swim();
     if swim.newest_heard(scope) <= mine {
         return Vec::new();
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -12,9 +12,9 @@
 use crate::quotas::QuotaTasks;
 use crate::settings::EdgeSettings;
 use crate::store_calls::StoreCalls;
-use crate::telling::Telling;
+use crate::telling::ViewReports;
 use crate::upstream_limits::UpstreamLimitTasks;
-use crate::watching::Watching;
+use crate::watching::StoreWatch;
 use arc_swap::ArcSwapOption;
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
@@ -33,26 +33,26 @@
 use tokio::sync::{Notify, watch};
 
 /// Assumed boxes per zone where budgets are shared and the fleet size is not known yet.
-const LEAST_BOXES_PER_ZONE: usize = 2;
+const MIN_BOXES_PER_ZONE: usize = 2;
 
 /// Added to an upstream's heartbeat interval while a notice of its cold start is pending.
 const ENTRY_LAG_MS: Millis = 1_500;
 
 /// Fraction of the drain time for which an upstream whose store entry was lost stays in use.
 /// The remaining 0.5 s of 2 s covers the transit of a request, at most 0.39 s.
-const KEPT_PART: f64 = 0.75;
+const RETAINED_FRACTION: f64 = 0.75;
 
 /// Minimum boxes in a region for advice on upstreams' load to be requested from coordinators.
 /// With fewer, each box sees a good share of an upstream's requests itself, and the state that
 /// a coordinator loses in a restart outweighs what it adds: with 3 to 4 boxes per region,
 /// requesting advice lowered the worth of all answers by 0.018 ± 0.011 (12 paired days).
-const LEAST_KEEPERS: usize = 8;
+const MIN_COORDINATORS: usize = 8;
 
 /// All scopes of the store that a box follows.
 pub(crate) const SCOPES: [Scope; 2] = [Scope::Operator, Scope::Upstreams];
 
 /// Maximum upstreams listed in a log line.
-const MOST_NAMED: usize = 8;
+const MAX_LISTED_UPSTREAMS: usize = 8;
 
 /// The active configuration with its look-up tables for routes and keys.
 pub(crate) struct InForce {
@@ -76,12 +76,12 @@
 
 /// Wakes the catch-up task of each scope after a message from another box.
 #[derive(Default)]
-pub(crate) struct Heard {
+pub(crate) struct PeerUpdates {
     operator: Notify,
     upstreams: Notify,
 }
 
-impl Heard {
+impl PeerUpdates {
     pub(crate) fn notify(&self) {
         self.operator.notify_one();
         self.upstreams.notify_one();
@@ -111,12 +111,12 @@
     /// Requests since the start.
     pub(crate) requests: AtomicU64,
     /// Wakes the catch-up tasks.
-    pub(crate) heard: Heard,
+    pub(crate) peer_updates: PeerUpdates,
     /// Pending reports on this box's view of the store.
-    pub(crate) telling: Telling,
+    pub(crate) view_reports: ViewReports,
     /// Age limits of the view.
     pub(crate) view_limits: ViewLimits,
-    pub(crate) watching: Watching,
+    pub(crate) store_watch: StoreWatch,
     /// Requests for advice that are sent before a request is routed.
     pub(crate) asking: Asking,
     /// The workspaces' quotas.
@@ -130,7 +130,7 @@
     /// Quarantine of requests that crash upstreams.
     pub(crate) quarantine: QuarantineTasks,
     /// Wakes the gossip task when the own member record has changed.
-    pub(crate) has_news: Notify,
+    pub(crate) has_updates: Notify,
     lifecycle: watch::Sender<Lifecycle>,
     fleet: Mutex<FleetState>,
     placement: Mutex<Placement>,
@@ -140,13 +140,13 @@
 }
 
 /// Formats the number of upstreams and the first few of them for a log line.
-struct KeptUpstreams<'a>(&'a [UpstreamId]);
+struct UpstreamList<'a>(&'a [UpstreamId]);
 
-impl fmt::Display for KeptUpstreams<'_> {
+impl fmt::Display for UpstreamList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "upstreams={}", self.0.len())?;
-        let mut named = self.0.iter().take(MOST_NAMED);
-        named.try_for_each(|id| write!(f, " {id}"))
+        let mut listed = self.0.iter().take(MAX_LISTED_UPSTREAMS);
+        listed.try_for_each(|id| write!(f, " {id}"))
     }
 }
 
@@ -167,22 +167,22 @@
             region: settings.region(),
             zones: settings.zones.clone(),
             most_shift: settings.bounds.most_shift,
-            keep_vanished_ms: (settings.bounds.drain_s * 1_000.0 * KEPT_PART) as Millis,
+            keep_vanished_ms: (settings.bounds.drain_s * 1_000.0 * RETAINED_FRACTION) as Millis,
             after_evacuation_ms: heartbeat_ms + ENTRY_LAG_MS,
-            least_keepers: LEAST_KEEPERS,
+            least_keepers: MIN_COORDINATORS,
         });
         let bounds = &settings.bounds;
         let shortest_s = bounds.drain_s.min(bounds.config_apply_s);
         Self {
             view_limits: ViewLimits::new(shortest_s),
-            watching: Watching::new(&settings, &swim),
+            store_watch: StoreWatch::new(&settings, &swim),
             asking: Asking::new(socket),
             quotas: QuotaTasks::new(settings.id.clone(), settings.bounds.quota),
             health_questions: HealthQuestions::default(),
             fleet_size: KnownFleetSize::default(),
             quarantine: QuarantineTasks::new(settings.id.clone()),
             upstream_limits: UpstreamLimitTasks::new(settings.id.clone(), settings.zones.clone()),
-            telling: Telling::default(),
+            view_reports: ViewReports::default(),
             dialect,
             clock: settings.clock.clone(),
             in_force: ArcSwapOption::empty(),
@@ -195,8 +195,8 @@
             in_flight: AtomicUsize::new(0),
             held_bytes: AtomicUsize::new(0),
             requests: AtomicU64::new(0),
-            heard: Heard::default(),
-            has_news: Notify::new(),
+            peer_updates: PeerUpdates::default(),
+            has_updates: Notify::new(),
             lifecycle: watch::Sender::new(Lifecycle::Starting),
             fleet: Mutex::default(),
             placement: Mutex::new(placement),
@@ -287,14 +287,19 @@
         }
         let kept = updated.kept;
         if !kept.is_empty() {
-            emit(Event::EntriesKept, format_args!("{}", KeptUpstreams(&kept)));
+            emit(Event::EntriesKept, format_args!("{}", UpstreamList(&kept)));
         }
     }
 
     /// Announces this box's newest revision of `scope` to other boxes if it has changed.
     /// `source` is where the update came from; `age_ms` is the age of the view before the
     /// update, in milliseconds.
-    pub(crate) fn told(&self, scope: Scope, age_ms: Option<Millis>, source: &dyn fmt::Display) {
+    pub(crate) fn announce_progress(
+        &self,
+        scope: Scope,
+        age_ms: Option<Millis>,
+        source: &dyn fmt::Display,
+    ) {
         let Some(newest) = self.fleet().newest(scope) else {
             return;
         };
@@ -307,9 +312,9 @@
                     age_ms.map_or_else(|| "-".to_owned(), |age_ms| age_ms.to_string()),
                 ),
             );
-            self.has_news.notify_one();
+            self.has_updates.notify_one();
             if self.duty() != StoreDuty::Hears {
-                self.tell_zone();
+                self.report_to_zone();
             }
         }
     }
@@ -325,34 +330,34 @@
         let swim = self.swim();
         let mut demand = DemandSample::default();
         let mut ids = Vec::new();
-        let mut keepers = Vec::new();
+        let mut coordinators = Vec::new();
         let region = self.settings.region();
         for record in swim.heard_boxes() {
             if let Some(region) = self.settings.zones.get(&record.zone) {
                 demand.add(region, record.requests_per_s);
             }
-            let is_near = self.settings.zones.get(&record.zone) == Some(&region);
-            if is_near && record.state == MemberState::Serving {
-                keepers.push(record.id.clone());
+            let is_local = self.settings.zones.get(&record.zone) == Some(&region);
+            if is_local && record.state == MemberState::Serving {
+                coordinators.push(record.id.clone());
             }
             ids.push(&record.id);
         }
         let mut placement = self.placement();
         placement.set_boxes(ids.into_iter(), demand.by_region());
         placement.set_fleet_size(self.fleet_size.boxes());
-        placement.set_keepers(keepers);
+        placement.set_keepers(coordinators);
         drop(placement);
         drop(swim);
         self.set_quota_boxes();
         self.set_quarantine_boxes();
         self.set_limit_boxes();
-        self.update_watching();
+        self.update_duty();
     }
 
     /// Returns the maximum number of boxes that share budgets with this one.
     pub(crate) fn sharing_boxes(&self) -> usize {
         let known = self.fleet_size.boxes();
-        known.max(self.settings.zones.len() * LEAST_BOXES_PER_ZONE)
+        known.max(self.settings.zones.len() * MIN_BOXES_PER_ZONE)
     }
 
     /// Picks the service for the next request on a route.
--- a/crates/edge/src/fleet_size.rs
+++ b/crates/edge/src/fleet_size.rs
@@ -14,14 +14,14 @@
 use tokio::time::sleep;
 
 /// Initial backoff after a failed call; short because requests wait for a starting box.
-const FIRST_PAUSE: Duration = Duration::from_millis(150);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(150);
 
 /// Maximum backoff after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Interval between checks whether to update the stored size. The boxes of a starting fleet
 /// discover each other within two seconds, so their size is written once.
-const REVIEW_AFTER: Duration = Duration::from_secs(3);
+const REVIEW_INTERVAL: Duration = Duration::from_secs(3);
 
 /// The fleet size and its last logged state.
 #[derive(Debug, Default)]
@@ -36,15 +36,15 @@
 
 /// Reads the fleet size from the store as soon as this box watches the store, and keeps it up
 /// to date there while this box is the leader.
-pub(crate) async fn keep<S: FleetSizeStore>(context: Arc<Context>, store: Arc<S>) {
-    context.is_to_watch().await;
-    let mut pause = FIRST_PAUSE;
+pub(crate) async fn sync<S: FleetSizeStore>(context: Arc<Context>, store: Arc<S>) {
+    context.wait_until_watching().await;
+    let mut backoff = INITIAL_BACKOFF;
     while !read(&context, &*store).await {
-        sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        sleep(backoff.mul_f64(0.5 + rand::random::<f64>())).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
     loop {
-        sleep(REVIEW_AFTER).await;
+        sleep(REVIEW_INTERVAL).await;
         if context.duty() != StoreDuty::Confirms
             || lock(&context.fleet_size.size).to_record().is_none()
         {
@@ -110,24 +110,24 @@
     pub(crate) fn publish_fleet_size(&self) {
         let now = self.clock.now();
         let mut swim = self.swim();
-        let heard = swim.heard_boxes().count();
+        let reachable = swim.heard_boxes().count();
         let sizes = swim
             .heard_boxes()
             .filter(|record| record.id != self.settings.id);
-        let told = sizes.map(|record| record.fleet_size).max().unwrap_or(0);
+        let reported = sizes.map(|record| record.fleet_size).max().unwrap_or(0);
         let mut size = lock(&self.fleet_size.size);
-        size.hear(heard, told, now);
+        size.hear(reachable, reported, now);
         let (known, to_tell) = (size.known(now), size.to_tell());
         drop(size);
-        let is_news = swim.set_fleet_size(to_tell);
+        let has_changed = swim.set_fleet_size(to_tell);
         drop(swim);
-        if is_news {
-            self.has_news.notify_one();
+        if has_changed {
+            self.has_updates.notify_one();
         }
-        self.log_fleet_size(known, heard);
+        self.log_fleet_size(known, reachable);
     }
 
-    fn log_fleet_size(&self, known: KnownSize, heard: usize) {
+    fn log_fleet_size(&self, known: KnownSize, reachable: usize) {
         let logged = std::mem::replace(&mut *lock(&self.fleet_size.logged), known);
         if known == logged {
             return;
@@ -137,10 +137,10 @@
             KnownSize::Told(boxes) => {
                 emit(
                     Event::FleetSize,
-                    format_args!("boxes={boxes} heard={heard}"),
+                    format_args!("boxes={boxes} heard={reachable}"),
                 );
             }
-            KnownSize::Heard => emit(Event::FleetSizeUnknown, format_args!("heard={heard}")),
+            KnownSize::Heard => emit(Event::FleetSizeUnknown, format_args!("heard={reachable}")),
         }
     }
 }
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -14,26 +14,26 @@
 use tokio::time::{Instant, MissedTickBehavior, interval};
 
 /// Interval of the protocol's timer checks.
-const TICK: Duration = Duration::from_millis(75);
+const TICK_INTERVAL: Duration = Duration::from_millis(75);
 
 /// Minimum interval between two publications of the member list, which changes constantly in a
 /// large fleet.
-const PUBLISH: Duration = Duration::from_millis(150);
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Maximum size of a received datagram.
-const MOST_DATAGRAM_BYTES: usize = 16 * 1024;
+const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
 
 /// Interval of the own load measurements.
-const LOAD_MS: Millis = 2_000;
+const LOAD_INTERVAL_MS: Millis = 2_000;
 
 /// Weight of the newest load measurement in the moving average.
 const LOAD_WEIGHT: f64 = 0.3;
 
 /// Runs the membership protocol for as long as the process runs.
-pub(crate) async fn take_part(context: Arc<Context>, socket: Arc<UdpSocket>) {
-    let mut ticks = interval(TICK);
+pub(crate) async fn run_membership(context: Arc<Context>, socket: Arc<UdpSocket>) {
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
-    let mut buffer = vec![0; MOST_DATAGRAM_BYTES];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     let mut load = OwnLoad::default();
     let mut generation = 0;
     let mut published_at = Instant::now();
@@ -54,63 +54,63 @@
                 // heartbeats anyway.
                 Err(_) => Vec::new(),
             },
-            () = context.has_news.notified() => context.swim().hints(&mut rand::rng()),
-            () = context.telling.wake.notified() => Vec::new(),
+            () = context.has_updates.notified() => context.swim().hints(&mut rand::rng()),
+            () = context.view_reports.wake.notified() => Vec::new(),
         };
         send(&socket, out).await;
-        tell(&context, &socket).await;
+        send_view_report(&context, &socket).await;
         let newest = context.swim().generation();
-        if newest != generation && published_at.elapsed() >= PUBLISH {
+        if newest != generation && published_at.elapsed() >= PUBLISH_INTERVAL {
             generation = newest;
             published_at = Instant::now();
             context.publish_members();
-            report(&context, &mut alive);
+            log_membership_changes(&context, &mut alive);
         }
     }
 }
 
 /// Logs which boxes joined and left since the last call.
-fn report(context: &Context, alive: &mut BTreeSet<BoxId>) {
+fn log_membership_changes(context: &Context, alive: &mut BTreeSet<BoxId>) {
     let swim = context.swim();
-    let heard: BTreeSet<BoxId> = swim
+    let reachable: BTreeSet<BoxId> = swim
         .members()
         .filter(|member| member.liveness != Liveness::Dead)
         .map(|member| member.record.id.clone())
         .collect();
-    for id in heard.difference(alive) {
+    for id in reachable.difference(alive) {
         emit(Event::MemberHeard, format_args!("box={id}"));
     }
-    for id in alive.difference(&heard) {
+    for id in alive.difference(&reachable) {
         emit(Event::MemberSilent, format_args!("box={id}"));
     }
-    *alive = heard;
+    *alive = reachable;
 }
 
 /// Announces to some members that this box leaves.
-pub(crate) async fn say_farewell(context: &Context, socket: &UdpSocket) {
+pub(crate) async fn announce_leave(context: &Context, socket: &UdpSocket) {
     let out = context.swim().farewell(&mut rand::rng());
     send(socket, out).await;
 }
 
 fn receive(context: &Context, datagram: &[u8], from: SocketAddr) -> Vec<(SocketAddr, SwimMessage)> {
     match ciborium::from_reader::<Datagram, _>(datagram) {
-        Ok(Datagram::Question(question)) => context.hear_question(&question, from),
-        Ok(Datagram::Advice(advice)) => context.hear_advice(advice, from),
-        Ok(Datagram::Ending(ending)) => context.hear_ending(&ending),
-        Ok(Datagram::QuotaCount(count)) => context.hear_quota_count(&count, from),
-        Ok(Datagram::QuotaWord(word)) => context.hear_quota_word(word, from),
-        Ok(Datagram::RunReport(report)) => context.hear_run_report(&report, from),
-        Ok(Datagram::LimitQuestion(question)) => context.hear_limit_question(&question, from),
-        Ok(Datagram::LimitWord(word)) => context.hear_limit_word(word),
-        Ok(Datagram::LimitNews(news)) => context.hear_limit_news(&news),
+        Ok(Datagram::Question(question)) => context.handle_advice_query(&question, from),
+        Ok(Datagram::Advice(advice)) => context.handle_advice(advice, from),
+        Ok(Datagram::Ending(completion)) => context.handle_completion(&completion),
+        Ok(Datagram::QuotaCount(count)) => context.handle_quota_count(&count, from),
+        Ok(Datagram::QuotaWord(reply)) => context.handle_quota_reply(reply, from),
+        Ok(Datagram::RunReport(report)) => context.handle_crash_report(&report, from),
+        Ok(Datagram::LimitQuestion(question)) => context.handle_limit_query(&question, from),
+        Ok(Datagram::LimitWord(reply)) => context.handle_limit_reply(reply),
+        Ok(Datagram::LimitNews(news)) => context.handle_limit_update(&news),
         Ok(Datagram::ColdNews(news)) => context.hear_cold(&news),
         Ok(Datagram::Swim(message)) => {
             if let SwimMessage::Known { id, views, failing } = &message {
-                context.hear_known(id, views, *failing);
+                context.handle_view_report(id, views, *failing);
             }
             let now = context.clock.now();
             let out = context.swim().receive(from, message, now, &mut rand::rng());
-            context.heard.notify();
+            context.peer_updates.notify();
             return out;
         }
         Err(error) => emit(Event::PeerMalformed, format_args!("{from}: {error}")),
@@ -119,8 +119,8 @@
 }
 
 /// Sends a report on the view of the store, if one is due.
-async fn tell(context: &Context, socket: &UdpSocket) {
-    if let Some((message, receivers)) = context.take_telling() {
+async fn send_view_report(context: &Context, socket: &UdpSocket) {
+    if let Some((message, receivers)) = context.take_view_report() {
         send_to_all(socket, message, &receivers).await;
     }
 }
@@ -159,7 +159,7 @@
     fn measure(&mut self, context: &Context) {
         let now = context.clock.now();
         let elapsed = now.saturating_sub(self.measured_at);
-        if elapsed < LOAD_MS {
+        if elapsed < LOAD_INTERVAL_MS {
             return;
         }
         let requests = context.requests.load(Ordering::Relaxed);
--- a/crates/edge/src/quarantine.rs
+++ b/crates/edge/src/quarantine.rs
@@ -68,22 +68,22 @@
             ended: now,
         };
         self.quarantine.lock().broke(digest, suspect, run, now);
-        self.send_run_reports();
+        self.send_crash_reports();
     }
 
     /// Records that an upstream answered the request.
     pub(crate) fn run_answered(&self, digest: RequestDigest) {
         let now = self.clock.now();
         self.quarantine.lock().answered(digest, now);
-        self.send_run_reports();
+        self.send_crash_reports();
     }
 
     /// Handles another box's report on a request.
-    pub(crate) fn hear_run_report(&self, report: &RunReport, from: SocketAddr) {
+    pub(crate) fn handle_crash_report(&self, report: &RunReport, from: SocketAddr) {
         let now = self.clock.now();
         let heard = self.quarantine.lock().hear(report, from, now);
         match heard {
-            Ok(()) => self.send_run_reports(),
+            Ok(()) => self.send_crash_reports(),
             Err(error) => emit(Event::PeerMalformed, format_args!("{from}: {error}")),
         }
     }
@@ -92,7 +92,7 @@
     pub(crate) fn tick_quarantine(&self) {
         let now = self.clock.now();
         self.quarantine.lock().tick(now);
-        self.send_run_reports();
+        self.send_crash_reports();
     }
 
     /// Sets the serving boxes.
@@ -102,7 +102,7 @@
         drop(swim);
         let now = self.clock.now();
         self.quarantine.lock().set_boxes(boxes, now);
-        self.send_run_reports();
+        self.send_crash_reports();
     }
 
     /// Takes the requests that have yet to be stored, each with its remaining duration.
@@ -116,11 +116,11 @@
     }
 
     /// Merges the store's report on a request.
-    pub(crate) fn hear_confirmed(&self, report: &RunReport) {
+    pub(crate) fn merge_stored_quarantine(&self, report: &RunReport) {
         let now = self.clock.now();
         let heard = self.quarantine.lock().confirmed(report, now);
         match heard {
-            Ok(()) => self.send_run_reports(),
+            Ok(()) => self.send_crash_reports(),
             Err(error) => emit(Event::ConfigMalformed, format_args!("quarantine: {error}")),
         }
     }
@@ -131,19 +131,19 @@
         self.quarantine.lock().status(now)
     }
 
-    fn send_run_reports(&self) {
+    fn send_crash_reports(&self) {
         let now = self.clock.now();
         let mut quarantine = self.quarantine.lock();
         let reports = quarantine.take_reports(now);
-        let news = quarantine.take_news();
+        let events = quarantine.take_news();
         drop(quarantine);
         for (to, report) in reports {
             self.send_datagram(&Datagram::RunReport(report), to);
         }
-        news.iter().for_each(report_news);
-        if news
+        events.iter().for_each(log_event);
+        if events
             .iter()
-            .any(|news| news.change == QuarantineChange::ShutOut)
+            .any(|event| event.change == QuarantineChange::ShutOut)
         {
             self.quarantine.has_unconfirmed.notify_one();
         }
@@ -158,27 +158,27 @@
     }
 }
 
-fn report_news(news: &QuarantineNews) {
-    let event = match news.change {
+fn log_event(event: &QuarantineNews) {
+    let kind = match event.change {
         QuarantineChange::Suspected => Event::RequestSuspected,
         QuarantineChange::ShutOut => Event::RequestShutOut,
         QuarantineChange::Cleared => Event::RequestCleared,
         QuarantineChange::LetOut => Event::RequestLetOut,
     };
-    let (digest, service) = (news.digest, &news.suspect.service);
-    let workspace = news.suspect.workspace.as_ref();
+    let (digest, service) = (event.digest, &event.suspect.service);
+    let workspace = event.suspect.workspace.as_ref();
     let workspace = workspace.map_or("-", |workspace| workspace.as_str());
-    let runs = Runs(&news.runs);
+    let runs = CrashList(&event.runs);
     emit(
-        event,
+        kind,
         format_args!("digest={digest} service={service} workspace={workspace} {runs}"),
     );
 }
 
 /// Formats crashes for a log line: each upstream, and how long the request ran there.
-struct Runs<'a>(&'a [BrokenRun]);
+struct CrashList<'a>(&'a [BrokenRun]);
 
-impl fmt::Display for Runs<'_> {
+impl fmt::Display for CrashList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "upstreams={}", self.0.len())?;
         self.0.iter().try_for_each(|run| {
--- a/crates/edge/src/quarantine_store.rs
+++ b/crates/edge/src/quarantine_store.rs
@@ -13,17 +13,17 @@
 use tokio::time::sleep;
 
 /// Pause after a failed call.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_PAUSE: Duration = Duration::from_secs(1);
 
 /// Maximum attempts to store one request, as the store may be unavailable for a while.
-const MOST_TRIES: u32 = 30;
+const MAX_ATTEMPTS: u32 = 30;
 
 /// Poll interval of a box that is cut off from others.
-const LOOK_AFTER: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Fraction of live boxes, of those known in the last minute, below which a box considers
 /// itself cut off. The loss of one zone of six leaves 0.83.
-const LEAST_HEARD: f64 = 0.75;
+const MIN_ALIVE_FRACTION: f64 = 0.75;
 
 /// Stores the requests that this box quarantines as a coordinator, for as long as the process
 /// runs.
@@ -42,7 +42,7 @@
     report: &RunReport,
     ttl: Duration,
 ) {
-    for _ in 0..MOST_TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         context
             .store_calls
             .count(StoreCall::Confirm, CallReason::Quarantine);
@@ -50,7 +50,7 @@
             Ok(_) => return,
             Err(error) => report_failure(&error),
         }
-        sleep(PAUSE).await;
+        sleep(RETRY_PAUSE).await;
     }
 }
 
@@ -60,20 +60,20 @@
 
 /// Loads requests that others have quarantined: once as soon as the box watches the store, and
 /// repeatedly while it is cut off.
-pub(crate) async fn look<S: QuarantineStore>(context: Arc<Context>, store: Arc<S>) {
-    context.is_to_watch().await;
-    while !look_once(&context, &*store).await {
-        sleep(PAUSE).await;
+pub(crate) async fn load<S: QuarantineStore>(context: Arc<Context>, store: Arc<S>) {
+    context.wait_until_watching().await;
+    while !load_once(&context, &*store).await {
+        sleep(RETRY_PAUSE).await;
     }
     loop {
-        sleep(LOOK_AFTER).await;
-        if context.hears_few() {
-            look_once(&context, &*store).await;
+        sleep(POLL_INTERVAL).await;
+        if context.is_cut_off() {
+            load_once(&context, &*store).await;
         }
     }
 }
 
-async fn look_once<S: QuarantineStore>(context: &Context, store: &S) -> bool {
+async fn load_once<S: QuarantineStore>(context: &Context, store: &S) -> bool {
     context
         .store_calls
         .count(StoreCall::Confirmed, CallReason::Quarantine);
@@ -81,7 +81,7 @@
         Ok(reports) => {
             reports
                 .iter()
-                .for_each(|report| context.hear_confirmed(report));
+                .for_each(|report| context.merge_stored_quarantine(report));
             true
         }
         // The read is retried; until then the box goes by its own records.
@@ -94,12 +94,12 @@
 
 impl Context {
     /// Returns whether many known boxes are unreachable: this box may be cut off.
-    fn hears_few(&self) -> bool {
+    fn is_cut_off(&self) -> bool {
         let swim = self.swim();
         let alive = swim
             .members()
             .filter(|member| member.liveness == Liveness::Alive);
         let (alive, known) = (alive.count() + 1, swim.members().count() + 1);
-        (alive as f64) < LEAST_HEARD * known as f64
+        (alive as f64) < MIN_ALIVE_FRACTION * known as f64
     }
 }
--- a/crates/edge/src/quotas.rs
+++ b/crates/edge/src/quotas.rs
@@ -16,7 +16,7 @@
 
 /// Timeout for a coordinator's reply. A round trip to another region takes 25 ms; the rest
 /// allows for a busy processor.
-const ANSWER_WAIT: Duration = Duration::from_millis(60);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(60);
 
 /// This box's state of the quotas, and the requests that wait for a coordinator.
 #[derive(Debug)]
@@ -89,13 +89,13 @@
             .quotas()
             .admit(&workspace.name, limit, id, rand::random(), now);
         let admission = match admission {
-            Admission::Ask(question) => self.ask_quota(question, limit).await,
+            Admission::Ask(query) => self.query_quota(query, limit).await,
             decided => decided,
         };
-        self.tell_tight();
+        self.broadcast_at_quota();
         match admission {
-            Admission::Send(told) => {
-                self.tell_keeper(told);
+            Admission::Send(message) => {
+                self.send_to_coordinator(message);
                 Ok(Some(Permit {
                     context: Arc::clone(self),
                     workspace: workspace.name.clone(),
@@ -106,7 +106,7 @@
             // A timeout of the last query yields a decision, never another query.
             Admission::Ask(_) => Err(Failure::OverQuota {
                 workspace: workspace.name.clone(),
-                retry_after_ms: ANSWER_WAIT.as_millis() as Millis,
+                retry_after_ms: REPLY_TIMEOUT.as_millis() as Millis,
             }),
             Admission::Refuse { retry_after_ms } => Err(Failure::OverQuota {
                 workspace: workspace.name.clone(),
@@ -116,71 +116,71 @@
     }
 
     /// Queries a quota's coordinator, and once more if the reply doesn't come.
-    async fn ask_quota(&self, question: ToKeeper, limit: QuotaLimit) -> Admission {
-        match self.ask_quota_once(question, limit, false).await {
-            Admission::Ask(again) => self.ask_quota_once(again, limit, true).await,
+    async fn query_quota(&self, query: ToKeeper, limit: QuotaLimit) -> Admission {
+        match self.query_quota_once(query, limit, false).await {
+            Admission::Ask(again) => self.query_quota_once(again, limit, true).await,
             decided => decided,
         }
     }
 
-    async fn ask_quota_once(
+    async fn query_quota_once(
         &self,
-        question: ToKeeper,
+        query: ToKeeper,
         limit: QuotaLimit,
         is_last: bool,
     ) -> Admission {
-        let waiting = self.quotas.waiters.wait(question.count.id);
-        let datagram = Datagram::QuotaCount(question.count.clone());
-        self.send_datagram(&datagram, question.address);
-        let word = waiting.within(ANSWER_WAIT).await;
+        let waiting = self.quotas.waiters.wait(query.count.id);
+        let datagram = Datagram::QuotaCount(query.count.clone());
+        self.send_datagram(&datagram, query.address);
+        let reply = waiting.within(REPLY_TIMEOUT).await;
         let now = self.clock.now();
         let mut quotas = self.quotas.quotas();
-        match word {
-            Some(word) => quotas.answered(&word, question.address, rand::random(), now),
-            None => quotas.unanswered(question, limit, is_last, now),
+        match reply {
+            Some(reply) => quotas.answered(&reply, query.address, rand::random(), now),
+            None => quotas.unanswered(query, limit, is_last, now),
         }
     }
 
-    fn tell_keeper(&self, told: Option<ToKeeper>) {
-        if let Some(ToKeeper { address, count }) = told {
+    fn send_to_coordinator(&self, message: Option<ToKeeper>) {
+        if let Some(ToKeeper { address, count }) = message {
             self.send_datagram(&Datagram::QuotaCount(count), address);
         }
     }
 
     fn correct_quota(&self, workspace: &Workspace, limit: QuotaLimit, runs: i32) {
         let now = self.clock.now();
-        let told = self.quotas.quotas().correct(workspace, limit, runs, now);
-        self.tell_keeper(told);
-        self.tell_tight();
+        let message = self.quotas.quotas().correct(workspace, limit, runs, now);
+        self.send_to_coordinator(message);
+        self.broadcast_at_quota();
     }
 
     /// Replies to another box's count.
-    pub(crate) fn hear_quota_count(&self, count: &QuotaCount, from: SocketAddr) {
+    pub(crate) fn handle_quota_count(&self, count: &QuotaCount, from: SocketAddr) {
         let Some(limit) = self.quota_limit(&count.workspace) else {
             // Configurations may differ for a moment; the other box decides by itself
             // meanwhile.
             return;
         };
         let now = self.clock.now();
-        let word = self.quotas.quotas().hear_count(count, from, limit, now);
+        let reply = self.quotas.quotas().hear_count(count, from, limit, now);
         // A correction needs no reply.
-        if let Some(word) = word.filter(|_| count.id != 0) {
-            self.send_datagram(&Datagram::QuotaWord(word), from);
+        if let Some(reply) = reply.filter(|_| count.id != 0) {
+            self.send_datagram(&Datagram::QuotaWord(reply), from);
         }
-        self.tell_tight();
+        self.broadcast_at_quota();
     }
 
     /// Handles a coordinator's reply or broadcast.
-    pub(crate) fn hear_quota_word(&self, word: QuotaWord, from: SocketAddr) {
-        let Some(word) = self.quotas.waiters.answered(word.id, word) else {
+    pub(crate) fn handle_quota_reply(&self, reply: QuotaWord, from: SocketAddr) {
+        let Some(reply) = self.quotas.waiters.answered(reply.id, reply) else {
             return;
         };
-        let Some(limit) = self.quota_limit(&word.workspace) else {
+        let Some(limit) = self.quota_limit(&reply.workspace) else {
             return;
         };
         let now = self.clock.now();
-        let told = self.quotas.quotas().hear_word(&word, from, limit, now);
-        self.tell_keeper(told);
+        let message = self.quotas.quotas().hear_word(&reply, from, limit, now);
+        self.send_to_coordinator(message);
     }
 
     fn quota_limit(&self, workspace: &Workspace) -> Option<QuotaLimit> {
@@ -190,21 +190,21 @@
     }
 
     /// Broadcasts which workspaces have reached their quota, where that is due.
-    fn tell_tight(&self) {
+    fn broadcast_at_quota(&self) {
         let mut quotas = self.quotas.quotas();
-        let words = quotas.take_words_for_all();
-        if words.is_empty() {
+        let broadcasts = quotas.take_words_for_all();
+        if broadcasts.is_empty() {
             return;
         }
         let others: Vec<SocketAddr> = quotas.others().collect();
         drop(quotas);
-        for word in words {
-            let workspace = &word.workspace;
+        for broadcast in broadcasts {
+            let workspace = &broadcast.workspace;
             emit(
                 Event::WorkspaceAtQuota,
                 format_args!("workspace={workspace}"),
             );
-            let datagram = Datagram::QuotaWord(word);
+            let datagram = Datagram::QuotaWord(broadcast);
             others
                 .iter()
                 .for_each(|other| self.send_datagram(&datagram, *other));
@@ -214,7 +214,7 @@
     /// Runs the timers of the quotas.
     pub(crate) fn tick_quotas(&self) {
         self.quotas.quotas().tick(self.clock.now());
-        self.tell_tight();
+        self.broadcast_at_quota();
     }
 
     /// Sets the serving boxes and the number of live ones.
--- a/crates/edge/src/refresh.rs
+++ b/crates/edge/src/refresh.rs
@@ -7,7 +7,7 @@
 //! [`ViewLimits`](brasswinch_routing::ViewLimits).
 
 use crate::context::Context;
-use crate::follow::{FIRST_PAUSE, Following, longest_pause};
+use crate::follow::{Following, INITIAL_BACKOFF, max_backoff};
 use crate::store::{FleetStore, StoreFailure};
 use crate::store_calls::CallReason;
 use crate::store_news::{WatchCall, list, watch};
@@ -19,20 +19,20 @@
 use tokio::time::sleep;
 
 /// Poll interval while there is no view yet, or another call to the store is in progress.
-const POLL: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Keeps the view of `scope` fresh for as long as the process runs.
-pub(crate) async fn keep_young<S: FleetStore>(context: Arc<Context>, store: Arc<S>, scope: Scope) {
-    let mut pause = FIRST_PAUSE;
+pub(crate) async fn keep_fresh<S: FleetStore>(context: Arc<Context>, store: Arc<S>, scope: Scope) {
+    let mut backoff = INITIAL_BACKOFF;
     loop {
-        let age_ms = grown_old(&context, scope).await;
+        let age_ms = wait_until_stale(&context, scope).await;
         if context.following(scope) == Following::Busy {
             // The call in progress will refresh the view.
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
             continue;
         }
-        if context.leaves_store_to_others() && !context.duty().follows_store() {
-            sleep(POLL).await;
+        if context.is_deferring_to_peer() && !context.duty().follows_store() {
+            sleep(POLL_INTERVAL).await;
             continue;
         }
         if context.duty() != StoreDuty::Confirms {
@@ -41,36 +41,36 @@
                 format_args!("scope={scope:?} age_ms={age_ms}"),
             );
         }
-        let answered = ask(&context, &*store, scope).await;
+        let answered = refresh(&context, &*store, scope).await;
         if context.duty().follows_store() {
             context.set_reaches_store(answered.is_ok());
         }
         match answered {
             Ok(()) => {
-                pause = FIRST_PAUSE;
-                context.confirmed();
+                backoff = INITIAL_BACKOFF;
+                context.report_after_refresh();
             }
             Err(error) => {
-                if pause == FIRST_PAUSE {
+                if backoff == INITIAL_BACKOFF {
                     emit(Event::StoreUnreachable, format_args!("{scope:?}: {error}"));
                 }
-                context.store_failed(&error);
+                context.handle_store_failure(&error);
                 if context.duty() != StoreDuty::Hears {
-                    context.tell_failing();
+                    context.report_store_failure();
                 }
-                sleep(pause.mul_f64(0.5 + rand::random::<f64>())).await;
-                pause = (pause * 2).min(longest_pause(context.sharing_boxes()));
+                sleep(backoff.mul_f64(0.5 + rand::random::<f64>())).await;
+                backoff = (backoff * 2).min(max_backoff(context.sharing_boxes()));
             }
         }
     }
 }
 
 /// Waits until the view is stale; returns its age in milliseconds.
-async fn grown_old(context: &Context, scope: Scope) -> Millis {
+async fn wait_until_stale(context: &Context, scope: Scope) -> Millis {
     let random = rand::random();
     loop {
         let Some(age_ms) = context.view_age_ms(scope) else {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
             continue;
         };
         let limit_ms = context.view_limits.limit_ms(context.duty(), random);
@@ -81,7 +81,7 @@
     }
 }
 
-async fn ask<S: FleetStore>(
+async fn refresh<S: FleetStore>(
     context: &Context,
     store: &S,
     scope: Scope,
@@ -89,14 +89,14 @@
     let after = context.fleet().asked_to(scope);
     let answered = match after {
         Some(after) => {
-            let asked = WatchCall {
+            let call = WatchCall {
                 scope,
                 after,
                 wait: Duration::ZERO,
-                begun: &|| {},
+                on_reply_start: &|| {},
                 reason: CallReason::ViewOld,
             };
-            watch(context, store, asked).await
+            watch(context, store, call).await
         }
         None => list(context, store, scope, CallReason::ViewOld).await,
     };
--- a/crates/edge/src/registry.rs
+++ b/crates/edge/src/registry.rs
@@ -17,34 +17,34 @@
 const LEASE_TTL: Duration = Duration::from_secs(30);
 
 /// Renewal interval; two renewals in a row may fail.
-const RENEW_AFTER: Duration = Duration::from_secs(9);
+const RENEW_INTERVAL: Duration = Duration::from_secs(9);
 
 /// Initial backoff after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_secs(1);
+const INITIAL_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Maximum backoff after failed calls.
-const LONGEST_PAUSE: Duration = Duration::from_secs(8);
+const MAX_BACKOFF: Duration = Duration::from_secs(8);
 
 /// Interval of the checks whether this box has to be registered.
-const DUTY_POLL: Duration = Duration::from_secs(1);
+const DUTY_POLL_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Consecutive checks that have to agree, as a starting box knows few others at first.
-const DUTY_LOOKS: u32 = 3;
+const DUTY_CHECKS: u32 = 3;
 
 /// Interval between two reads of the list of boxes in a small fleet.
-const LOOK_AFTER: Duration = Duration::from_secs(20);
+const DISCOVERY_INTERVAL: Duration = Duration::from_secs(20);
 
 /// Increase of that interval per box, as the list grows with the fleet.
-const LOOK_PER_BOX: Duration = Duration::from_millis(50);
+const DISCOVERY_INTERVAL_PER_BOX: Duration = Duration::from_millis(50);
 
 /// How long a box without live peers waits for its seeds before it reads the list.
-const ALONE_FOR: Duration = Duration::from_secs(2);
+const ISOLATION_WAIT: Duration = Duration::from_secs(2);
 
 /// Keeps the box registered while it serves and has a duty to follow or relay the store. A few
 /// registered boxes per zone are enough for discovery.
 pub(crate) async fn stay_registered<S: BoxRegistry>(context: Arc<Context>, store: Arc<S>) {
     context.reached(Lifecycle::Serving).await;
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     while context.lifecycle() == Lifecycle::Serving {
         if !has_duty(&context).await {
             continue;
@@ -54,34 +54,34 @@
         match store.register(&registration, LEASE_TTL).await {
             Ok(lease) => {
                 emit(Event::Registered, format_args!("lease={}", lease.0));
-                pause = FIRST_PAUSE;
-                hold(&context, &*store, lease).await;
+                backoff = INITIAL_BACKOFF;
+                keep_lease(&context, &*store, lease).await;
             }
             Err(_) => {
-                sleep(around(pause)).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                sleep(with_jitter(backoff)).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 }
 
-/// Returns whether the box keeps a store duty for `DUTY_LOOKS` checks.
+/// Returns whether the box keeps a store duty for `DUTY_CHECKS` checks.
 async fn has_duty(context: &Context) -> bool {
-    for _ in 0..DUTY_LOOKS {
+    for _ in 0..DUTY_CHECKS {
         if context.duty() == StoreDuty::Hears {
-            sleep(around(DUTY_POLL)).await;
+            sleep(with_jitter(DUTY_POLL_INTERVAL)).await;
             return false;
         }
-        sleep(DUTY_POLL).await;
+        sleep(DUTY_POLL_INTERVAL).await;
     }
     context.lifecycle() == Lifecycle::Serving
 }
 
 /// Renews `lease` until it ends or the box leaves.
-async fn hold<S: BoxRegistry>(context: &Context, store: &S, lease: LeaseId) {
+async fn keep_lease<S: BoxRegistry>(context: &Context, store: &S, lease: LeaseId) {
     loop {
         tokio::select! {
-            () = sleep(around(RENEW_AFTER)) => {}
+            () = sleep(with_jitter(RENEW_INTERVAL)) => {}
             () = context.reached(Lifecycle::Leaving) => {
                 context.count_call(StoreCall::Withdraw);
                 // If the call is lost, the lease expires by itself.
@@ -97,17 +97,17 @@
 }
 
 /// Discovers boxes that the membership doesn't know, for as long as the process runs.
-pub(crate) async fn find_strangers<S: BoxRegistry>(context: Arc<Context>, store: Arc<S>) {
-    let mut pause = ALONE_FOR;
+pub(crate) async fn discover_boxes<S: BoxRegistry>(context: Arc<Context>, store: Arc<S>) {
+    let mut backoff = ISOLATION_WAIT;
     loop {
-        if is_alone(&context) {
-            sleep(around(pause)).await;
-            pause = (pause * 2).min(LOOK_AFTER);
+        if is_isolated(&context) {
+            sleep(with_jitter(backoff)).await;
+            backoff = (backoff * 2).min(DISCOVERY_INTERVAL);
         } else {
-            pause = ALONE_FOR;
-            sleep(around(look_after(context.sharing_boxes()))).await;
+            backoff = ISOLATION_WAIT;
+            sleep(with_jitter(discovery_interval(context.sharing_boxes()))).await;
         }
-        if !is_alone(&context) && !context.watches_store() {
+        if !is_isolated(&context) && !context.watches_store() {
             continue;
         }
         context.count_call(StoreCall::Registered);
@@ -115,9 +115,9 @@
             let addresses = registrations
                 .iter()
                 .map(|registration| registration.peer_address);
-            let strangers = context.swim().introduce(addresses);
-            if strangers > 0 {
-                emit(Event::StrangersFound, format_args!("boxes={strangers}"));
+            let discovered = context.swim().introduce(addresses);
+            if discovered > 0 {
+                emit(Event::StrangersFound, format_args!("boxes={discovered}"));
             }
         }
     }
@@ -125,7 +125,7 @@
 
 impl Context {
     fn count_call(&self, call: StoreCall) {
-        self.store_calls.count(call, CallReason::Meet);
+        self.store_calls.count(call, CallReason::Discovery);
     }
 }
 
@@ -138,18 +138,18 @@
     }
 }
 
-fn is_alone(context: &Context) -> bool {
+fn is_isolated(context: &Context) -> bool {
     let swim = context.swim();
     let mut members = swim.members();
     !members.any(|member| member.liveness == Liveness::Alive)
 }
 
-fn look_after(boxes: usize) -> Duration {
+fn discovery_interval(boxes: usize) -> Duration {
     let boxes = u32::try_from(boxes).unwrap_or(u32::MAX);
-    LOOK_AFTER.max(LOOK_PER_BOX.saturating_mul(boxes))
+    DISCOVERY_INTERVAL.max(DISCOVERY_INTERVAL_PER_BOX.saturating_mul(boxes))
 }
 
 /// Adds jitter, so that boxes do not call the store at the same moment.
-fn around(pause: Duration) -> Duration {
-    pause.mul_f64(0.75 + 0.5 * rand::random::<f64>())
+fn with_jitter(backoff: Duration) -> Duration {
+    backoff.mul_f64(0.75 + 0.5 * rand::random::<f64>())
 }
--- a/crates/edge/src/start.rs
+++ b/crates/edge/src/start.rs
@@ -26,20 +26,20 @@
 const STAGE_POLL: Duration = Duration::from_millis(50);
 
 /// Maximum time that a starting box waits to discover other boxes.
-const MEET_OTHERS: Duration = Duration::from_millis(1_500);
+const MAX_DISCOVERY_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Fraction of the grace period during which a leaving box still accepts new requests.
-const OPEN_PART_OF_GRACE: f64 = 0.5;
+const OPEN_GRACE_FRACTION: f64 = 0.5;
 
 /// Fraction of the grace period after which a leaving box stops, whatever is in progress.
-const LAST_PART_OF_GRACE: f64 = 0.93;
+const MAX_GRACE_FRACTION: f64 = 0.93;
 
 /// Interval between two sweeps of idle connections.
-const SWEEP: Duration = Duration::from_secs(2);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Maximum attempts to find a port that is free for both connections and datagrams, where the
 /// system chooses it.
-const SAME_PORT_TRIES: u32 = 16;
+const MAX_PORT_ATTEMPTS: u32 = 16;
 
 /// Why a box did not start.
 #[derive(Debug, thiserror::Error)]
@@ -70,8 +70,8 @@
     let listener = listen(settings.addresses.clients)?;
     let (relay_listener, socket) = listen_to_peers(settings.addresses.peers)?;
     let addresses = EdgeAddresses {
-        clients: actual(&listener, settings.addresses.clients),
-        peers: actual(&relay_listener, settings.addresses.peers),
+        clients: bound_address(&listener, settings.addresses.clients),
+        peers: bound_address(&relay_listener, settings.addresses.peers),
     };
     settings.addresses = addresses;
     let swim = Swim::new(
@@ -85,12 +85,12 @@
     for scope in SCOPES {
         let following = follow::follow(Arc::clone(&context), Arc::clone(&store), scope);
         tokio::spawn(following);
-        let refreshing = refresh::keep_young(Arc::clone(&context), Arc::clone(&store), scope);
+        let refreshing = refresh::keep_fresh(Arc::clone(&context), Arc::clone(&store), scope);
         tokio::spawn(refreshing);
         tokio::spawn(catch_up::catch_up(Arc::clone(&context), scope));
     }
-    let hearing = Arc::clone(&context);
-    tokio::spawn(async move { hearing.hear_first().await });
+    let fallback = Arc::clone(&context);
+    tokio::spawn(async move { fallback.fall_back_to_store().await });
     tokio::spawn(registry::stay_registered(
         Arc::clone(&context),
         Arc::clone(&store),
@@ -99,16 +99,19 @@
         Arc::clone(&context),
         Arc::clone(&store),
     ));
-    tokio::spawn(quarantine_store::look(
+    tokio::spawn(quarantine_store::load(
         Arc::clone(&context),
         Arc::clone(&store),
     ));
-    tokio::spawn(fleet_size::keep(Arc::clone(&context), Arc::clone(&store)));
-    tokio::spawn(registry::find_strangers(Arc::clone(&context), store));
-    tokio::spawn(gossip::take_part(Arc::clone(&context), Arc::clone(&socket)));
+    tokio::spawn(fleet_size::sync(Arc::clone(&context), Arc::clone(&store)));
+    tokio::spawn(registry::discover_boxes(Arc::clone(&context), store));
+    tokio::spawn(gossip::run_membership(
+        Arc::clone(&context),
+        Arc::clone(&socket),
+    ));
     tokio::spawn(relay::serve(Arc::clone(&context), relay_listener));
     tokio::spawn(server::serve(Arc::clone(&context), listener));
-    tokio::spawn(serve_when_known(Arc::clone(&context)));
+    tokio::spawn(serve_when_ready(Arc::clone(&context)));
     tokio::spawn(health::ask_while_silent(Arc::clone(&context)));
     tokio::spawn(sweep(Arc::clone(&context)));
     Ok(EdgeHandle { context, socket })
@@ -132,11 +135,11 @@
         let context = &self.context;
         context.advance(Lifecycle::Leaving);
         emit(Event::Leaving, format_args!("{}", context.settings.id));
-        gossip::say_farewell(context, &self.socket).await;
+        gossip::announce_leave(context, &self.socket).await;
         let grace = context.grace();
-        sleep(grace.mul_f64(OPEN_PART_OF_GRACE)).await;
+        sleep(grace.mul_f64(OPEN_GRACE_FRACTION)).await;
         context.advance(Lifecycle::Closed);
-        let last = began + grace.mul_f64(LAST_PART_OF_GRACE);
+        let last = began + grace.mul_f64(MAX_GRACE_FRACTION);
         // Open connections may still receive requests that were sent before they close.
         sleep(server::LAST_REQUESTS + STAGE_POLL).await;
         while context.in_flight.load(Ordering::Relaxed) > 0 && Instant::now() < last {
@@ -188,16 +191,16 @@
 }
 
 /// Returns the bound address; the system chooses the port where the settings leave it open.
-fn actual(listener: &TcpListener, asked: SocketAddr) -> SocketAddr {
+fn bound_address(listener: &TcpListener, asked: SocketAddr) -> SocketAddr {
     listener.local_addr().unwrap_or(asked)
 }
 
 /// Binds the same port for connections and datagrams of other boxes.
 fn listen_to_peers(address: SocketAddr) -> Result<(TcpListener, Arc<UdpSocket>), EdgeError> {
     let mut last = None;
-    for _ in 0..SAME_PORT_TRIES {
+    for _ in 0..MAX_PORT_ATTEMPTS {
         let listener = listen(address)?;
-        let port = actual(&listener, address);
+        let port = bound_address(&listener, address);
         match bind_datagrams(port) {
             Ok(socket) => return Ok((listener, Arc::new(socket))),
             Err(source) if address.port() == 0 => last = Some(source),
@@ -215,21 +218,21 @@
 }
 
 /// Maximum time that a box which knows all else waits for the fleet size.
-const TOLD_FLEET_SIZE: Duration = Duration::from_millis(1_500);
+const MAX_FLEET_SIZE_WAIT: Duration = Duration::from_millis(1_500);
 
 /// Starts serving once configuration, upstreams and the fleet size are known and other boxes
 /// were discovered, or the waits for them are over.
-async fn serve_when_known(context: Arc<Context>) {
+async fn serve_when_ready(context: Arc<Context>) {
     let began = Instant::now();
     let mut known_at = None;
     loop {
         let is_known =
             context.in_force.load().is_some() && context.fleet().newest(Scope::Upstreams).is_some();
-        let has_met = context.swim().members().next().is_some();
-        if is_known && (has_met || began.elapsed() >= MEET_OTHERS) {
+        let has_peers = context.swim().members().next().is_some();
+        if is_known && (has_peers || began.elapsed() >= MAX_DISCOVERY_WAIT) {
             let known_at = known_at.get_or_insert_with(Instant::now);
             if context.known_fleet_size() != KnownSize::Awaited
-                || known_at.elapsed() >= TOLD_FLEET_SIZE
+                || known_at.elapsed() >= MAX_FLEET_SIZE_WAIT
             {
                 break;
             }
@@ -242,7 +245,7 @@
 
 async fn sweep(context: Arc<Context>) {
     loop {
-        sleep(SWEEP).await;
+        sleep(SWEEP_INTERVAL).await;
         let known: std::collections::HashSet<_> = context
             .fleet()
             .upstreams()
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -53,14 +53,14 @@
     /// Returns all entries of `scope`.
     fn list(&self, scope: Scope) -> impl Future<Output = Result<Snapshot, StoreFailure>> + Send;
 
-    /// Waits at most `wait` for a change in `scope` after a revision. Calls `begun` when the
+    /// Waits at most `wait` for a change in `scope` after a revision. Calls `on_reply_start` when the
     /// reply begins.
     fn watch(
         &self,
         scope: Scope,
         after: Revision,
         wait: Duration,
-        begun: Begun<'_>,
+        on_reply_start: Begun<'_>,
     ) -> impl Future<Output = Result<Watched, StoreFailure>> + Send;
 }
 
--- a/crates/edge/src/store_calls.rs
+++ b/crates/edge/src/store_calls.rs
@@ -38,7 +38,7 @@
     /// The store no longer has the requested changes, or the reply was incomplete.
     Gap,
     /// Registration and discovery of boxes.
-    Meet,
+    Discovery,
     /// Persistence of the quarantine.
     Quarantine,
     /// The fleet size, by which boxes share rate limits.
@@ -68,7 +68,7 @@
             Self::Follow => "follow",
             Self::ViewOld => "view_old",
             Self::Gap => "gap",
-            Self::Meet => "meet",
+            Self::Discovery => "meet",
             Self::Quarantine => "quarantine",
             Self::SharedRates => "shared_rates",
         }
--- a/crates/edge/src/store_news.rs
+++ b/crates/edge/src/store_news.rs
@@ -14,7 +14,7 @@
 
 /// Summary of a reply of the store.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Told {
+pub(crate) struct FetchSummary {
     /// Whether the transfer was so slow that more may have been written meanwhile.
     pub(crate) is_slow: bool,
     /// Whether a watch returned changes.
@@ -33,7 +33,7 @@
     store: &S,
     scope: Scope,
     reason: CallReason,
-) -> Result<Told, StoreFailure> {
+) -> Result<FetchSummary, StoreFailure> {
     context.store_calls.count(StoreCall::List, reason);
     let (began, as_of) = (Instant::now(), context.clock.now());
     let snapshot = store.list(scope).await?;
@@ -43,10 +43,10 @@
     let has_changed = context
         .fleet()
         .apply_snapshot(snapshot, context.clock.now());
-    learned(context, scope, at, as_of);
+    record_view(context, scope, at, as_of);
     context.publish();
-    context.told(scope, age, &"listing");
-    Ok(Told {
+    context.announce_progress(scope, age, &"listing");
+    Ok(FetchSummary {
         is_slow: is_slow && has_changed,
         has_changes: false,
         has_config: false,
@@ -61,7 +61,7 @@
     /// How long to wait for a change.
     pub(crate) wait: Duration,
     /// Called when the reply begins.
-    pub(crate) begun: Begun<'a>,
+    pub(crate) on_reply_start: Begun<'a>,
     pub(crate) reason: CallReason,
 }
 
@@ -73,20 +73,20 @@
 pub(crate) async fn watch<S: FleetStore>(
     context: &Context,
     store: &S,
-    asked: WatchCall<'_>,
-) -> Result<Told, StoreFailure> {
+    call: WatchCall<'_>,
+) -> Result<FetchSummary, StoreFailure> {
     let WatchCall {
         scope,
         after,
         wait,
-        begun,
+        on_reply_start,
         reason,
-    } = asked;
+    } = call;
     context.store_calls.count(StoreCall::Watch, reason);
     let (began, called_at) = (Instant::now(), context.clock.now());
-    let watched = store.watch(scope, after, wait, begun).await?;
+    let watched = store.watch(scope, after, wait, on_reply_start).await?;
     let has_changes = !watched.changes.is_empty();
-    let told = Told {
+    let summary = FetchSummary {
         is_slow: is_slow(scope, watched.transfer),
         has_changes,
         has_config: watched.changes.iter().any(is_config),
@@ -102,26 +102,26 @@
     let age = context.view_age_ms(scope);
     let now = context.clock.now();
     let has_changed = context.fleet().apply_changes(scope, watched.changes, now);
-    learned(context, scope, watched.at, as_of);
+    record_view(context, scope, watched.at, as_of);
     if has_changed {
         context.publish();
     }
     if has_changes {
-        context.told(scope, age, &"watch");
+        context.announce_progress(scope, age, &"watch");
     }
-    Ok(told)
+    Ok(summary)
 }
 
 /// Records that the view is complete up to revision `at`, as of `as_of`.
-fn learned(context: &Context, scope: Scope, at: Revision, as_of: Millis) {
+fn record_view(context: &Context, scope: Scope, at: Revision, as_of: Millis) {
     let mut fleet = context.fleet();
     if let Some(revision) = fleet.newest(scope) {
-        let claim = Claim {
+        let watermark = Claim {
             revision,
             at,
             as_of,
         };
-        fleet.claim(scope, claim);
+        fleet.claim(scope, watermark);
     }
 }
 
--- a/crates/edge/src/telling.rs
+++ b/crates/edge/src/telling.rs
@@ -11,11 +11,11 @@
 use tokio::sync::Notify;
 
 /// Minimum interval between two reports that carry no new revision, only a younger view.
-const LEAST_APART_MS: Millis = 150;
+const MIN_REPORT_INTERVAL_MS: Millis = 150;
 
 /// The next report and the last one sent.
 #[derive(Debug, Default)]
-struct Due {
+struct PendingReport {
     /// Whether a report is pending, at least to the own zone.
     is_due: bool,
     /// Whether it also goes to the other boxes that follow or relay the store.
@@ -24,81 +24,83 @@
     /// reported so, is retrying.
     is_failing: bool,
     /// When the last report was sent, in milliseconds.
-    told_at: Millis,
+    sent_at: Millis,
     /// The revisions in the last report.
-    told: Vec<Option<Revision>>,
+    sent_revisions: Vec<Option<Revision>>,
 }
 
 /// Pending reports on this box's view of the store.
 #[derive(Debug, Default)]
-pub(crate) struct Telling {
-    due: Mutex<Due>,
+pub(crate) struct ViewReports {
+    pending: Mutex<PendingReport>,
     /// Wakes the task that sends reports.
     pub(crate) wake: Notify,
 }
 
-impl Telling {
-    fn due(&self) -> MutexGuard<'_, Due> {
-        self.due.lock().unwrap_or_else(PoisonError::into_inner)
+impl ViewReports {
+    fn pending(&self) -> MutexGuard<'_, PendingReport> {
+        self.pending.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Context {
     /// Schedules a report after the store has answered a follower.
-    pub(crate) fn followed(&self) {
-        self.tell(self.duty() == StoreDuty::Confirms);
+    pub(crate) fn report_after_follow(&self) {
+        self.schedule_report(self.duty() == StoreDuty::Confirms);
     }
 
     /// Schedules a report after a stale view was refreshed from the store.
-    pub(crate) fn confirmed(&self) {
-        self.tell(self.duty() != StoreDuty::Hears);
+    pub(crate) fn report_after_refresh(&self) {
+        self.schedule_report(self.duty() != StoreDuty::Hears);
     }
 
     /// Schedules a report to the own zone.
-    pub(crate) fn tell_zone(&self) {
-        self.tell(false);
+    pub(crate) fn report_to_zone(&self) {
+        self.schedule_report(false);
     }
 
     /// Schedules a report that the store does not respond and that this box retries.
-    pub(crate) fn tell_failing(&self) {
-        self.telling.due().is_failing = true;
-        self.tell(self.duty().follows_store());
+    pub(crate) fn report_store_failure(&self) {
+        self.view_reports.pending().is_failing = true;
+        self.schedule_report(self.duty().follows_store());
     }
 
-    fn tell(&self, to_followers: bool) {
-        let mut due = self.telling.due();
-        due.is_due = true;
-        due.to_followers |= to_followers;
-        drop(due);
-        self.telling.wake.notify_one();
+    fn schedule_report(&self, to_followers: bool) {
+        let mut pending = self.view_reports.pending();
+        pending.is_due = true;
+        pending.to_followers |= to_followers;
+        drop(pending);
+        self.view_reports.wake.notify_one();
     }
 
     /// Returns the pending report and its receivers, if one is due. New revisions are sent at
     /// once; reports without any are rate-limited.
-    pub(crate) fn take_telling(&self) -> Option<(SwimMessage, Vec<SocketAddr>)> {
-        let mut due = self.telling.due();
-        if !due.is_due {
+    pub(crate) fn take_view_report(&self) -> Option<(SwimMessage, Vec<SocketAddr>)> {
+        let mut pending = self.view_reports.pending();
+        if !pending.is_due {
             return None;
         }
         let now = self.clock.now();
         let revisions = self.revisions();
-        if due.told == revisions && now.saturating_sub(due.told_at) < LEAST_APART_MS {
+        if pending.sent_revisions == revisions
+            && now.saturating_sub(pending.sent_at) < MIN_REPORT_INTERVAL_MS
+        {
             return None;
         }
-        let (to_followers, failing) = (due.to_followers, due.is_failing);
-        *due = Due {
+        let (to_followers, failing) = (pending.to_followers, pending.is_failing);
+        *pending = PendingReport {
             is_due: false,
             to_followers: false,
             is_failing: false,
-            told_at: now,
-            told: revisions,
+            sent_at: now,
+            sent_revisions: revisions,
         };
-        drop(due);
+        drop(pending);
         let views = self.known_views();
         if views.is_empty() {
             return None;
         }
-        let mut receivers = self.neighbours();
+        let mut receivers = self.zone_peers();
         if to_followers {
             receivers.extend(&self.watchers().others);
             receivers.sort_unstable();
@@ -110,44 +112,44 @@
 
     /// Handles another box's report on its view and on whether the store fails to respond to
     /// it.
-    pub(crate) fn hear_known(&self, id: &BoxId, views: &[KnownView], failing: bool) {
+    pub(crate) fn handle_view_report(&self, id: &BoxId, views: &[KnownView], failing: bool) {
         let Some(zone) = self.zone_of(id) else {
             return;
         };
         let mut is_younger = false;
         for view in views {
-            is_younger |= self.hear_view(view);
+            is_younger |= self.merge_view(view);
         }
         if failing {
-            self.is_being_tried();
+            self.defer_to_peer();
         }
-        let is_from_elsewhere = zone != self.settings.zone;
-        if !is_from_elsewhere || self.duty() == StoreDuty::Hears {
+        let is_other_zone = zone != self.settings.zone;
+        if !is_other_zone || self.duty() == StoreDuty::Hears {
             return;
         }
         if failing {
-            self.telling.due().is_failing = true;
+            self.view_reports.pending().is_failing = true;
         }
         if failing || is_younger {
-            self.tell_zone();
+            self.report_to_zone();
         }
     }
 
     /// Merges one view of another box; returns whether it makes this box's view younger.
-    fn hear_view(&self, view: &KnownView) -> bool {
+    fn merge_view(&self, view: &KnownView) -> bool {
         // Views older than this process are of no use.
         let age = Millis::from(view.age_ms);
         let Some(as_of) = self.clock.now().checked_sub(age) else {
             return false;
         };
-        let claim = Claim {
+        let watermark = Claim {
             revision: view.revision,
             at: view.at,
             as_of,
         };
         let mut fleet = self.fleet();
         let before = fleet.whole_as_of(view.scope);
-        fleet.claim(view.scope, claim);
+        fleet.claim(view.scope, watermark);
         fleet.whole_as_of(view.scope) > before
     }
 
@@ -184,7 +186,7 @@
     }
 
     /// Returns the peer addresses of the live boxes in the own zone.
-    fn neighbours(&self) -> Vec<SocketAddr> {
+    fn zone_peers(&self) -> Vec<SocketAddr> {
         let swim = self.swim();
         swim.members()
             .filter(|member| member.liveness == Liveness::Alive)
--- a/crates/edge/src/upstream_limits.rs
+++ b/crates/edge/src/upstream_limits.rs
@@ -20,7 +20,7 @@
 
 /// Timeout for a coordinator's reply. A round trip between the two most distant regions takes
 /// 70 ms; the rest allows for a busy processor.
-const ANSWER_WAIT: Duration = Duration::from_millis(150);
+const REPLY_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// This box's state of upstreams' limits.
 #[derive(Debug)]
@@ -70,13 +70,13 @@
 
 /// Ends the count of a request at its upstream if the client disconnects while the limit's
 /// coordinator is queried.
-struct CountedWhileAsking<'a> {
+struct PendingGrant<'a> {
     context: &'a Context,
     choice: &'a Choice,
     is_decided: bool,
 }
 
-impl Drop for CountedWhileAsking<'_> {
+impl Drop for PendingGrant<'_> {
     fn drop(&mut self) {
         if !self.is_decided {
             let now = self.context.clock.now();
@@ -97,12 +97,12 @@
         if self.upstream_limits.lock().is_empty() {
             return Ok(chosen);
         }
-        let mut counted = CountedWhileAsking {
+        let mut counted = PendingGrant {
             context: self,
             choice: &chosen.choice,
             is_decided: false,
         };
-        let grant = self.ask_for_grant(&chosen.choice, left).await;
+        let grant = self.request_grant(&chosen.choice, left).await;
         counted.is_decided = true;
         drop(counted);
         let now = self.clock.now();
@@ -131,14 +131,14 @@
 
     /// Says whether a request may be sent to the chosen upstream now; asks the keeper of its
     /// limit where it names one.
-    async fn ask_for_grant(&self, choice: &Choice, left: Duration) -> Result<Grant, LimitRefusal> {
+    async fn request_grant(&self, choice: &Choice, left: Duration) -> Result<Grant, LimitRefusal> {
         let (id, random, now) = (rand::random(), rand::random(), self.clock.now());
         let admission =
             self.upstream_limits
                 .lock()
                 .admit(&choice.life(), &choice.zone, id, random, now);
         let decided = match admission {
-            LimitAdmission::Ask(asked) => self.ask_limit(asked, left, random).await,
+            LimitAdmission::Ask(message) => self.query_limit(message, left, random).await,
             decided => decided,
         };
         match decided {
@@ -150,33 +150,38 @@
         }
     }
 
-    async fn ask_limit(&self, asked: ToLimitKeeper, left: Duration, random: f64) -> LimitAdmission {
-        let ToLimitKeeper { address, question } = asked;
+    async fn query_limit(
+        &self,
+        message: ToLimitKeeper,
+        left: Duration,
+        random: f64,
+    ) -> LimitAdmission {
+        let ToLimitKeeper { address, question } = message;
         let waiting = self.upstream_limits.waiters.wait(question.id);
         self.send_datagram(&Datagram::LimitQuestion(question), address);
-        let word = waiting.within(ANSWER_WAIT.min(left)).await;
-        UpstreamLimits::answered(word.as_ref(), random)
+        let reply = waiting.within(REPLY_TIMEOUT.min(left)).await;
+        UpstreamLimits::answered(reply.as_ref(), random)
     }
 
     /// Replies to another box's query.
-    pub(crate) fn hear_limit_question(&self, question: &LimitQuestion, from: SocketAddr) {
+    pub(crate) fn handle_limit_query(&self, question: &LimitQuestion, from: SocketAddr) {
         let now = self.clock.now();
-        let word = self.upstream_limits.lock().hear_question(question, now);
-        self.send_datagram(&Datagram::LimitWord(word), from);
+        let reply = self.upstream_limits.lock().hear_question(question, now);
+        self.send_datagram(&Datagram::LimitWord(reply), from);
     }
 
     /// Handles a coordinator's reply.
-    pub(crate) fn hear_limit_word(&self, word: LimitWord) {
+    pub(crate) fn handle_limit_reply(&self, reply: LimitWord) {
         // Late replies are dropped: no request waits for them any more.
-        let _ = self.upstream_limits.waiters.answered(word.id, word);
+        let _ = self.upstream_limits.waiters.answered(reply.id, reply);
     }
 
     /// Handles another box's update on an upstream's limit.
-    pub(crate) fn hear_limit_news(&self, news: &LimitNews) {
+    pub(crate) fn handle_limit_update(&self, update: &LimitNews) {
         let now = self.clock.now();
-        let change = self.upstream_limits.lock().hear_news(news, now);
-        self.send_limit_news();
-        report_change(&news.life, change, "peer");
+        let change = self.upstream_limits.lock().hear_news(update, now);
+        self.send_limit_updates();
+        report_change(&update.life, change, "peer");
     }
 
     /// Records the limit that the chosen upstream's answer carries, or that it carries none.
@@ -194,15 +199,15 @@
         let now = self.clock.now();
         let change = self.upstream_limits.lock().named(&answer, now);
         if change.is_some() {
-            self.send_limit_news();
+            self.send_limit_updates();
             report_change(&life, change, "answer");
         }
     }
 
-    fn send_limit_news(&self) {
+    fn send_limit_updates(&self) {
         let out = self.upstream_limits.lock().take_news();
-        for (to, news) in out {
-            self.send_datagram(&Datagram::LimitNews(news), to);
+        for (to, update) in out {
+            self.send_datagram(&Datagram::LimitNews(update), to);
         }
     }
 
--- a/crates/edge/src/watching.rs
+++ b/crates/edge/src/watching.rs
@@ -15,25 +15,25 @@
 /// Average time that a starting box waits for updates from other boxes before it asks the store
 /// itself. Where all boxes start at once, only the seeds then ask: without this delay 295 boxes
 /// received 1,406 updates from the store in their first 4 s.
-const HEAR_FIRST: Duration = Duration::from_secs(2);
+const PEERS_FIRST_DELAY: Duration = Duration::from_secs(2);
 
 /// Minimum time before a change of duty takes effect while there are other boxes. A starting
 /// box knows few others and would select itself: 16 starting boxes made 45 store calls without
 /// this delay, under 32 with it.
-const SETTLE_MS: Millis = 1_000;
+const DUTY_SETTLE_MS: Millis = 1_000;
 
 /// How long a box leaves the store to another that reported it is retrying. That one retries,
 /// and reports failures, within 1.2 s.
-const LEAVE_TO_OTHERS_MS: Millis = 1_500;
+const DEFER_TO_PEER_MS: Millis = 1_500;
 
 /// Follow state of each scope.
 #[derive(Debug, Default)]
-struct FollowingScopes {
+struct FollowStates {
     operator: Following,
     upstreams: Following,
 }
 
-impl FollowingScopes {
+impl FollowStates {
     fn of(&mut self, scope: Scope) -> &mut Following {
         match scope {
             Scope::Operator => &mut self.operator,
@@ -54,8 +54,8 @@
 
 impl Duty {
     /// A box that starts with the store follows it until others do.
-    fn new(watchers: Watchers, asks_first: bool) -> Self {
-        let settled = if asks_first {
+    fn new(watchers: Watchers, starts_with_store: bool) -> Self {
+        let settled = if starts_with_store {
             StoreDuty::Follows
         } else {
             StoreDuty::Hears
@@ -72,7 +72,7 @@
         if newest != self.watchers.duty {
             self.since = now;
         }
-        let has_lasted = now.saturating_sub(self.since) >= SETTLE_MS;
+        let has_lasted = now.saturating_sub(self.since) >= DUTY_SETTLE_MS;
         let is_only_one = is_alone && newest != StoreDuty::Hears;
         if is_only_one || has_lasted {
             self.settled = newest;
@@ -87,26 +87,26 @@
 
 /// Which boxes follow the store, and this box's own state.
 #[derive(Debug)]
-pub(crate) struct Watching {
+pub(crate) struct StoreWatch {
     watches_store: watch::Sender<bool>,
     /// Whether this box asks the store before it has received updates from others.
-    asks_first: AtomicBool,
+    starts_with_store: AtomicBool,
     /// Until when the store is left to another box that retries, in milliseconds.
-    tried_until: AtomicU64,
+    deferred_until: AtomicU64,
     duty: Mutex<Duty>,
-    following: Mutex<FollowingScopes>,
+    following: Mutex<FollowStates>,
 }
 
-impl Watching {
+impl StoreWatch {
     /// A box without seeds, or that is a seed itself, asks the store at once.
     pub(crate) fn new(settings: &EdgeSettings, swim: &Swim) -> Self {
         let me = settings.addresses.peers;
-        let asks_first = settings.seeds.is_empty() || settings.seeds.contains(&me);
+        let starts_with_store = settings.seeds.is_empty() || settings.seeds.contains(&me);
         Self {
-            watches_store: watch::Sender::new(asks_first),
-            asks_first: AtomicBool::new(asks_first),
-            tried_until: AtomicU64::new(0),
-            duty: Mutex::new(Duty::new(Watchers::of(swim), asks_first)),
+            watches_store: watch::Sender::new(starts_with_store),
+            starts_with_store: AtomicBool::new(starts_with_store),
+            deferred_until: AtomicU64::new(0),
+            duty: Mutex::new(Duty::new(Watchers::of(swim), starts_with_store)),
             following: Mutex::default(),
         }
     }
@@ -119,17 +119,17 @@
 impl Context {
     /// Returns whether this box watches the store itself.
     pub(crate) fn watches_store(&self) -> bool {
-        *self.watching.watches_store.borrow()
+        *self.store_watch.watches_store.borrow()
     }
 
     /// Waits until this box is to watch the store itself.
-    pub(crate) async fn is_to_watch(&self) {
-        let mut changes = self.watching.watches_store.subscribe();
+    pub(crate) async fn wait_until_watching(&self) {
+        let mut changes = self.store_watch.watches_store.subscribe();
         let _ = changes.wait_for(|watches| *watches).await;
     }
 
     /// Updates the duty and whether this box watches the store itself.
-    pub(crate) fn update_watching(&self) {
+    pub(crate) fn update_duty(&self) {
         let (watchers, is_alone) = {
             let swim = self.swim();
             let mut members = swim.members();
@@ -137,10 +137,10 @@
             (Watchers::of(&swim), !has_others)
         };
         let now = self.clock.now();
-        lock(&self.watching.duty).take(watchers, is_alone, now);
-        let asks_first = self.watching.asks_first.load(Ordering::Relaxed);
-        let watches = self.duty().follows_store() || (asks_first && !self.knows_store());
-        self.watching.watches_store.send_if_modified(|held| {
+        lock(&self.store_watch.duty).take(watchers, is_alone, now);
+        let starts_with_store = self.store_watch.starts_with_store.load(Ordering::Relaxed);
+        let watches = self.duty().follows_store() || (starts_with_store && !self.has_store_view());
+        self.store_watch.watches_store.send_if_modified(|held| {
             let is_new = *held != watches;
             *held = watches;
             is_new
@@ -148,56 +148,60 @@
     }
 
     /// Returns whether a view of every scope is known.
-    pub(crate) fn knows_store(&self) -> bool {
+    pub(crate) fn has_store_view(&self) -> bool {
         let fleet = self.fleet();
         let is_known = |scope: &Scope| fleet.newest(*scope).is_some();
         SCOPES.iter().all(is_known)
     }
 
     /// Falls back to the store if other boxes don't provide its contents in time.
-    pub(crate) async fn hear_first(&self) {
-        sleep(HEAR_FIRST.mul_f64(0.75 + 0.5 * rand::random::<f64>())).await;
-        self.watching.asks_first.store(true, Ordering::Relaxed);
-        self.update_watching();
+    pub(crate) async fn fall_back_to_store(&self) {
+        sleep(PEERS_FIRST_DELAY.mul_f64(0.75 + 0.5 * rand::random::<f64>())).await;
+        self.store_watch
+            .starts_with_store
+            .store(true, Ordering::Relaxed);
+        self.update_duty();
     }
 
     /// Leaves the store for a while to another box that reported it is retrying.
-    pub(crate) fn is_being_tried(&self) {
-        let until = self.clock.now() + LEAVE_TO_OTHERS_MS;
-        self.watching.tried_until.store(until, Ordering::Relaxed);
+    pub(crate) fn defer_to_peer(&self) {
+        let until = self.clock.now() + DEFER_TO_PEER_MS;
+        self.store_watch
+            .deferred_until
+            .store(until, Ordering::Relaxed);
     }
 
     /// Returns whether the store is left to another box that is retrying.
-    pub(crate) fn leaves_store_to_others(&self) -> bool {
-        self.clock.now() < self.watching.tried_until.load(Ordering::Relaxed)
+    pub(crate) fn is_deferring_to_peer(&self) -> bool {
+        self.clock.now() < self.store_watch.deferred_until.load(Ordering::Relaxed)
     }
 
     /// Puts a newly selected duty into effect once it has lasted long enough.
     pub(crate) fn settle_duty(&self) {
-        let is_settled = lock(&self.watching.duty).is_settled();
+        let is_settled = lock(&self.store_watch.duty).is_settled();
         if !is_settled {
-            self.update_watching();
+            self.update_duty();
         }
     }
 
     /// Returns the boxes that follow or relay the store.
     pub(crate) fn watchers(&self) -> Arc<Watchers> {
-        Arc::clone(&lock(&self.watching.duty).watchers)
+        Arc::clone(&lock(&self.store_watch.duty).watchers)
     }
 
     /// Returns this box's duty in effect.
     pub(crate) fn duty(&self) -> StoreDuty {
-        lock(&self.watching.duty).settled
+        lock(&self.store_watch.duty).settled
     }
 
     /// Returns the follow state of `scope`.
     pub(crate) fn following(&self, scope: Scope) -> Following {
-        *lock(&self.watching.following).of(scope)
+        *lock(&self.store_watch.following).of(scope)
     }
 
     /// Sets the follow state of `scope`.
     pub(crate) fn set_following(&self, scope: Scope, following: Following) {
-        *lock(&self.watching.following).of(scope) = following;
+        *lock(&self.store_watch.following).of(scope) = following;
     }
 
     /// Sets whether the store responds to this box.
@@ -207,7 +211,7 @@
 
     /// Handles a failed store call. A store that is unavailable or cut off may lose entries of
     /// upstreams that are alive.
-    pub(crate) fn store_failed(&self, error: &StoreFailure) {
+    pub(crate) fn handle_store_failure(&self, error: &StoreFailure) {
         if matches!(
             error,
             StoreFailure::Unavailable(_) | StoreFailure::NotWhole(_)
