--- a/crates/edge/tests/asking.rs
+++ b/crates/edge/tests/asking.rs
@@ -1,4 +1,5 @@
-//! Boxes ask the one that counts an upstream's requests, over real sockets.
+//! Boxes request advice from the coordinator that counts an upstream's requests, over real
+//! sockets.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -15,10 +16,10 @@
 use std::time::Duration;
 use tokio::net::UdpSocket;
 
-/// Slots of each upstream, as the tests' entries have them.
+/// Slots of each upstream in the test records.
 const SLOTS: usize = 4;
 
-/// A wait that ends with an answer, however busy the machine is.
+/// A timeout that a reply always beats, even on a busy machine.
 const LONG: Duration = Duration::from_secs(20);
 
 struct Fleet {
@@ -53,7 +54,7 @@
 }
 
 impl Fleet {
-    /// Waits until each box serves and knows of so many.
+    /// Waits until each box serves and knows `count` boxes.
     async fn knows(&self, count: usize) {
         for edge in &self.boxes {
             let context = Arc::clone(edge.context());
@@ -71,13 +72,13 @@
     }
 }
 
-/// Each of the boxes sends a few requests about one object, too few by themselves to see
-/// that its upstream is full.
+/// Each box sends a few requests for one object, too few to detect by itself that the upstream
+/// is full.
 #[tokio::test]
 async fn boxes_fill_an_upstream_together_no_further_than_one_would() {
     const BOXES: usize = 8;
     let fleet = fleet(BOXES, 3, LONG).await;
-    // Who keeps what is published a moment after the boxes know each other.
+    // Coordinators are published shortly after the boxes discover each other.
     tokio::time::sleep(Duration::from_secs(2)).await;
     for upstream in &fleet.upstreams {
         upstream.always(Behaviour::AnswerAfter(Duration::from_secs(2)));
@@ -97,8 +98,8 @@
         .map(|held| held.seen().len())
         .collect();
     let most = seen.iter().max().unwrap();
-    // Up to 2.6 times its slots, and two by boxes that heard of the others late. Boxes that
-    // go by what they see themselves send all 24.
+    // Up to 2.6 times its slots, and two more from boxes that learned of the others late.
+    // Boxes that decide by their own state alone send all 24.
     assert!(
         *most <= (2.6 * SLOTS as f64).ceil() as usize + 2,
         "requests at each upstream: {seen:?}"
@@ -108,7 +109,7 @@
 
 #[tokio::test]
 async fn a_box_whose_keepers_never_answer_serves_as_well() {
-    /// Enough that boxes ask each other.
+    /// Enough boxes for advice to be requested.
     const SILENT: usize = 9;
     let fleet = fleet(1, 3, KEEPER_WAIT).await;
     let peers = fleet.boxes[0].addresses().peers;
@@ -140,7 +141,7 @@
         for edge in &fleet.boxes {
             let peers = edge.addresses().peers;
             socket.send_to(&datagram, peers).await.unwrap();
-            // One that is cut short can't be read.
+            // A truncated datagram can't be parsed.
             let cut = &datagram[..datagram.len() / 2];
             socket.send_to(cut, peers).await.unwrap();
         }
--- a/crates/edge/tests/boxes.rs
+++ b/crates/edge/tests/boxes.rs
@@ -1,4 +1,4 @@
-//! Configuration, membership, look-ups and planned stops, with real boxes in one process.
+//! Configuration, membership, look-ups and graceful shutdown, with real boxes in one process.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -24,7 +24,7 @@
         .unwrap()
 }
 
-/// Boxes that know each other by the first one.
+/// Starts boxes that discover each other through the first one.
 async fn boxes(count: usize, store: &MemoryStore) -> Vec<(EdgeHandle, MemoryStore)> {
     let mut boxes: Vec<(EdgeHandle, MemoryStore)> = Vec::new();
     for number in 0..count {
@@ -82,7 +82,7 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     assert_eq!(site.get("/safe/1").await.status, 404, "the dropped route");
-    // An older one, written later, changes nothing.
+    // An older version, written later, changes nothing.
     site.store.write(Change::Config(Arc::new(config(1))));
     site.store.forget_history();
     tokio::time::sleep(Duration::from_millis(600)).await;
@@ -125,7 +125,7 @@
     for fault in [StoreFault::TurnedAway, StoreFault::Silent] {
         let boxes = boxes(3, &store).await;
         boxes[2].1.set_fault(fault);
-        // A watch that was under way when the fault began still brings one change.
+        // A watch in progress when the fault began still returns one change.
         store.write(Change::Evacuated(Zone::new("north-a")));
         store.write(Change::Gone(ChangeKey::Evacuation(Zone::new("north-a"))));
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -149,23 +149,23 @@
     }
 }
 
-/// A watch that was sent in an outage may never be answered: a box that waited for it
-/// would learn of the store's return, and of what was written since, seconds late.
+/// A watch sent during an outage may never get a reply. A box that waited for it would notice
+/// the store's return, and the changes since, seconds late.
 #[tokio::test]
 async fn a_box_that_the_store_failed_asks_without_waiting_until_it_answers() {
     let site = Site::start(1).await;
     let store = &site.store;
     eventually("a watch waits", || !store.waits().is_empty()).await;
     store.set_fault(StoreFault::TurnedAway);
-    // Ends the watches that are under way.
+    // Completes the watches in progress.
     store.write(Change::Config(Arc::new(config(2))));
     store.write(Change::Gone(ChangeKey::Upstream(UpstreamId::new("none"))));
     let before = store.waits().len();
     let more = before + 8;
     eventually("the box tries again", || store.waits().len() >= more).await;
     let trials = store.waits().split_off(before);
-    // The calls that fail first, one for each scope. Between them stand calls that never
-    // wait, which ask whether the view is whole.
+    // The first failing calls, one per scope. Among the rest are calls without a wait, which
+    // refresh the view.
     let waiting = trials.iter().filter(|wait| !wait.is_zero()).count();
     assert!(waiting <= 2, "{trials:?}");
     assert!(
@@ -211,7 +211,7 @@
         tokio::time::sleep(Duration::from_millis(400)).await;
     }
     let calls = store.calls() - before;
-    // Ten boxes that all watched would make 50.
+    // Ten boxes that all watched would make 50 calls.
     assert!(calls <= 35, "{calls}");
 }
 
@@ -253,7 +253,7 @@
     tokio::time::sleep(Duration::from_millis(100)).await;
     let stopping = tokio::spawn(handle.stop());
     eventually("it isn't ready", || !context.is_ready()).await;
-    // On a kept connection, on a new one, and one that is under way.
+    // A request on a kept connection, one on a new connection, and one in progress.
     let on_kept = kept.call(request("POST", "/once/1", "y")).await.unwrap();
     assert_eq!(on_kept.status, 200);
     assert_eq!(on_kept.headers["connection"], "close");
@@ -266,7 +266,7 @@
     assert!(TcpStream::connect(clients).await.is_err(), "closed");
 }
 
-/// Sends a small request on an open connection; whether any answer comes.
+/// Sends a small request on an open connection; returns whether an answer comes.
 async fn is_answered(mut stream: TcpStream) -> bool {
     let request = b"GET /safe/1 HTTP/1.1\r\nhost: quotes.example\r\n\r\n";
     if stream.write_all(request).await.is_err() {
@@ -276,9 +276,9 @@
     stream.read_exact(&mut answer).await.is_ok() && &answer == b"HTTP/1.1"
 }
 
-/// Connects until the box has closed its port; each connection's request comes later.
+/// Connects until the box has closed its port; each connection sends its request after a delay.
 async fn call_until_refused(clients: SocketAddr) -> Vec<JoinHandle<bool>> {
-    // Clients that need this long from their connection to their request.
+    // Delay from connection to request.
     const THINK: Duration = Duration::from_millis(60);
     const EVERY: Duration = Duration::from_millis(3);
     let mut calls = Vec::new();
@@ -294,7 +294,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_has_reached_a_box_before_it_closes_is_answered() {
-    // Several, so that one has often just connected when the box closes its port.
+    // Several callers, so that one has often just connected when the box closes its port.
     const CALLERS: usize = 4;
     let mut site = Site::start(1).await;
     let stopping = tokio::spawn(site.handle.take().unwrap().stop());
@@ -313,7 +313,8 @@
     stopping.await.unwrap();
 }
 
-/// A member that says it knows more than anybody, and never answers a question.
+/// Starts a member that claims the newest revisions and never answers a request; returns the
+/// count of connections to it.
 async fn silent_know_all(of: SocketAddr) -> Arc<AtomicUsize> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let socket = tokio::net::UdpSocket::bind(listener.local_addr().unwrap())
@@ -349,7 +350,7 @@
         asks.load(Ordering::Relaxed) > 0
     })
     .await;
-    // A watch that was under way when the fault began still brings one change.
+    // A watch in progress when the fault began still returns one change.
     store.write(Change::Evacuated(Zone::new("north-a")));
     tokio::time::sleep(Duration::from_millis(300)).await;
     let mut newer = config(2);
--- a/crates/edge/tests/common/fleet.rs
+++ b/crates/edge/tests/common/fleet.rs
@@ -1,4 +1,4 @@
-//! Several boxes that know each other, and clients that press on all of them.
+//! Several boxes that know each other, and clients that send to all of them.
 
 use super::{Answer, Kept, call, config, eventually, record, request, settings};
 use brasswinch_edge::{Dialect, EdgeHandle, start};
@@ -15,23 +15,23 @@
 
 const UPSTREAMS: usize = 4;
 
-/// How long an upstream takes: of 4 slots, it bears 200 requests a second.
+/// Processing time of an upstream; with 4 slots it handles 200 requests per second.
 const WORK: Duration = Duration::from_millis(20);
 
-/// Between two requests of the client of each box: some 20 a second from each.
+/// Pause between two requests of a client; at most some 20 requests per second to each box.
 pub const PAUSE: Duration = Duration::from_millis(30);
 
-/// Boxes in front of the same upstreams, each with clients of its own.
+/// Boxes in front of the same upstreams, each with its own client.
 pub struct Fleet {
     pub upstreams: Vec<Upstream>,
     pub boxes: Vec<EdgeHandle>,
-    /// Each box's access to the store.
+    /// Each box's handle of the store.
     pub stores: Vec<MemoryStore>,
     store: MemoryStore,
 }
 
 impl Fleet {
-    /// `count` serving boxes that know each other.
+    /// Starts `count` boxes and waits until they serve and know each other.
     pub async fn start(count: usize) -> Self {
         let dialect = Dialect::default();
         let store = MemoryStore::default().handle();
@@ -66,7 +66,7 @@
         self.stores.push(store);
     }
 
-    /// Waits until all boxes know `count` that serve.
+    /// Waits until all boxes serve and know `count` boxes.
     async fn meet(&self, count: usize) {
         for handle in &self.boxes {
             let context = Arc::clone(handle.context());
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Silences the store for all boxes.
+    /// Makes the store unresponsive for all boxes.
     pub fn silence_store(&self) {
         for store in &self.stores {
             store.set_fault(StoreFault::Silent);
@@ -91,7 +91,8 @@
         addresses.collect()
     }
 
-    /// The home of the object that all requests are about, after each box has met it.
+    /// Returns the home upstream of the object of all requests, after each box has sent a
+    /// request to it.
     pub async fn home(&self) -> Upstream {
         let mut served_by = String::new();
         for to in self.clients() {
@@ -104,7 +105,7 @@
         home.unwrap().clone()
     }
 
-    /// Sends requests to all boxes for `time`; the answers.
+    /// Sends requests to all boxes for `time`; returns the answers.
     pub async fn press(&self, time: Duration) -> Vec<Answer> {
         let mut clients = JoinSet::new();
         for to in self.clients() {
@@ -114,7 +115,7 @@
     }
 }
 
-/// One client that sends to one box; it comes anew where its connection ends.
+/// Runs one client of one box; it reconnects when its connection ends.
 async fn press(to: SocketAddr, time: Duration) -> Vec<Answer> {
     let until = Instant::now() + time;
     let mut answers = Vec::new();
@@ -129,7 +130,7 @@
     answers
 }
 
-/// How many of the answers are of upstreams.
+/// Returns the number of answers that came from upstreams.
 pub fn served(answers: &[Answer]) -> usize {
     let served = answers.iter().filter(|answer| answer.status == 200);
     served.count()
--- a/crates/edge/tests/common/know_all.rs
+++ b/crates/edge/tests/common/know_all.rs
@@ -1,4 +1,4 @@
-//! A member that says that it knows more than anybody.
+//! A simulated member that claims the newest revisions.
 
 use brasswinch_edge::Datagram;
 use brasswinch_routing::{MemberRecord, MemberState, Revision, Swim, SwimSettings};
@@ -7,17 +7,17 @@
 use std::time::{Duration, Instant};
 use tokio::net::UdpSocket;
 
-/// Longest wait for a datagram between two looks at the protocol's timers.
+/// Maximum wait for a datagram between two checks of the protocol's timers.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Takes part in the membership on `socket` for as long as the runtime lives, and knows
-/// `of` for a start. Whoever wants its news connects to the port of the same number.
+/// Runs the membership protocol on `socket` for as long as the runtime lives, with `of` as its
+/// seed. Requests for its updates go to the TCP port of the same number.
 pub async fn know_all(socket: UdpSocket, of: SocketAddr) {
     let record = record(&socket);
     take_part(record, socket, of).await;
 }
 
-/// The same for one whose link is fast, so that it is the one to follow the store.
+/// Runs the same with a fast link, so that the member is selected to follow the store.
 pub async fn know_all_on_a_fast_link(socket: UdpSocket, of: SocketAddr) {
     let mut record = record(&socket);
     record.id = BoxId::new(format!("know-all-{}", record.peer_address.port()));
@@ -25,7 +25,7 @@
     take_part(record, socket, of).await;
 }
 
-/// A member that would follow the store for all, and that never has anything new to tell.
+/// Runs a member with a fast link that is selected to follow the store and never has updates.
 pub async fn know_nothing_on_a_fast_link(socket: UdpSocket, of: SocketAddr) {
     let mut record = record(&socket);
     record.id = BoxId::new(format!("know-nothing-{}", record.peer_address.port()));
--- a/crates/edge/tests/common/mod.rs
+++ b/crates/edge/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A box between stand-ins of clients, upstreams and the store.
+//! Test environment of a box: simulated clients, upstreams and store.
 #![allow(dead_code, clippy::unwrap_used, clippy::expect_used)]
 
 pub mod fleet;
@@ -25,7 +25,7 @@
 use std::time::{Duration, Instant};
 use tokio::net::TcpStream;
 
-/// Longest wait for anything that a test waits for.
+/// Maximum wait for any condition of a test.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
 pub const HOST: &str = "quotes.example";
@@ -87,7 +87,8 @@
     }
 }
 
-/// `/safe/` may repeat, `/once/` not, `/upload/` carries bodies, `/short/` has little time.
+/// Routes: `/safe/` is repeatable, `/once/` is not, `/upload/` carries bodies and `/short/` has
+/// a short timeout.
 pub fn config(version: u64) -> SteeringConfig {
     let mut short = route("/short/", RouteKind::Repeatable, "desk");
     short.timeout_s = Some(0.3);
@@ -133,7 +134,7 @@
 }
 
 impl Site {
-    /// A serving box in front of `upstreams` upstreams.
+    /// Starts a box in front of `upstreams` upstreams and waits until it serves.
     pub async fn start(upstreams: usize) -> Self {
         let dialect = Dialect::default();
         let store = MemoryStore::default().handle();
@@ -167,7 +168,7 @@
             .unwrap()
     }
 
-    /// What all upstreams saw.
+    /// Returns the number of requests that the upstreams received.
     pub fn seen(&self) -> usize {
         self.upstreams
             .iter()
@@ -175,14 +176,14 @@
             .sum()
     }
 
-    /// Runs on all upstreams.
+    /// Returns the number of requests that the upstreams ran.
     pub fn runs(&self) -> usize {
         let seen = self.upstreams.iter().flat_map(Upstream::seen);
         seen.filter(|seen| seen.ran).count()
     }
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -204,7 +205,7 @@
         .unwrap()
 }
 
-/// A connection to a box that is kept.
+/// A kept connection to a box.
 pub struct Kept {
     sender: hyper::client::conn::http1::SendRequest<Full<Bytes>>,
 }
@@ -233,7 +234,7 @@
     }
 }
 
-/// One request on a connection of its own.
+/// Sends one request on its own connection.
 pub async fn call(to: SocketAddr, request: Request<Full<Bytes>>) -> Result<Answer, hyper::Error> {
     Kept::open(to).await.call(request).await
 }
--- a/crates/edge/tests/fleet_size.rs
+++ b/crates/edge/tests/fleet_size.rs
@@ -1,4 +1,4 @@
-//! How many boxes real boxes in one process take the fleet to have.
+//! The fleet size that real boxes in one process assume.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -30,7 +30,7 @@
     edge.context().status().fleet_size
 }
 
-/// Boxes that know each other, until the store holds how many they are.
+/// Starts boxes that know each other, and waits until the store holds their number.
 async fn recorded_fleet(store: &MemoryStore) -> Vec<EdgeHandle> {
     let mut boxes: Vec<EdgeHandle> = Vec::new();
     for number in 0..BOXES {
@@ -43,7 +43,8 @@
     boxes
 }
 
-/// A box that started where it heard nobody took itself for the whole fleet.
+/// Guards against a box that starts during a network partition and assumes that it is the whole
+/// fleet, as it hears from no other.
 #[tokio::test]
 async fn a_box_that_starts_in_a_cut_takes_itself_for_the_whole_fleet() {
     let store = store();
@@ -52,14 +53,15 @@
     assert_eq!(size_known_to(&cut_off), BOXES);
 }
 
-/// A box that started where it heard nobody spent the whole fleet's budget of repeats.
+/// Guards against a box that starts during a network partition and spends the whole fleet's
+/// retry budget, as it hears from no other.
 #[tokio::test]
 async fn a_box_that_starts_in_a_cut_spends_the_repeats_of_all() {
     const FLEET: u32 = 100;
     let store = store();
     store.keep_fleet_size(FLEET);
     let cut_off = serving("box-0", Vec::new(), store.handle()).await;
-    // The service has no upstream; the request is counted all the same.
+    // The service has no upstream, but the request still counts.
     let address = cut_off.addresses().clients;
     call(address, request("GET", "/safe/1", "")).await.unwrap();
     let settings = settings("box-0", Vec::new());
@@ -70,7 +72,8 @@
     assert!(left <= own_part, "{left} of {own_part}");
 }
 
-/// A box that the store turned away knew only of the boxes that it had heard.
+/// Guards against a box whose store calls are rejected and that counts only the boxes it hears
+/// from.
 #[tokio::test]
 async fn a_box_that_can_t_ask_the_store_isn_t_told_by_others() {
     let store = store();
--- a/crates/edge/tests/left_behind.rs
+++ b/crates/edge/tests/left_behind.rs
@@ -1,4 +1,5 @@
-//! Boxes that follow the store and tell nobody, or too slowly, keep no other from its news.
+//! Followers of the store that report nothing, or reply too slowly, do not keep other boxes
+//! from its updates.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -18,23 +19,23 @@
 use tokio_tungstenite::accept_async;
 use tokio_tungstenite::tungstenite::Message;
 
-/// Accepts questions and says nothing.
+/// Accepts a connection and never replies.
 async fn fall_silent(stream: TcpStream) {
     let _open = stream;
     std::future::pending().await
 }
 
-/// The head of an answer, as it goes over the wire.
+/// The header of a reply, as sent over the wire.
 #[derive(serde::Serialize)]
 struct Head {
     bytes: usize,
     is_compressed: bool,
 }
 
-/// The most pieces that one question got from a box that trickles.
+/// The most pieces that one request received from the slow peer.
 static MOST_PIECES: AtomicUsize = AtomicUsize::new(0);
 
-/// Answers with a large answer, a byte at a time and without end.
+/// Sends a large reply one byte at a time, without end.
 async fn trickle(stream: TcpStream) {
     const BETWEEN: Duration = Duration::from_millis(100);
     let Ok(mut socket) = accept_async(stream).await else {
@@ -55,7 +56,8 @@
     }
 }
 
-/// Where a member listens for datagrams and for questions, which `answer` takes.
+/// Binds one port for the datagrams and the connections of a member; `answer` handles the
+/// connections.
 async fn listen<F>(answer: fn(TcpStream) -> F) -> UdpSocket
 where
     F: Future<Output = ()> + Send + 'static,
@@ -88,7 +90,8 @@
     Change::Config(Arc::new(newer))
 }
 
-/// Waits until the route that came with `version` is there; there are no upstreams.
+/// Waits until the route added in `version` is active. There are no upstreams, so it answers
+/// 503.
 async fn has_route(edge: &EdgeHandle, version: u64) {
     let path = format!("/new{version}/1");
     let clients = edge.addresses().clients;
@@ -106,7 +109,7 @@
 
 #[tokio::test]
 async fn a_box_whose_watchers_tell_nothing_asks_the_store() {
-    /// Enough to follow the store for all, by their links.
+    /// Enough members with fast links to be selected as the followers of the store.
     const WATCHERS: usize = 5;
     let store = MemoryStore::default();
     store.write(Change::Config(Arc::new(config(1))));
@@ -118,7 +121,7 @@
     }
     let context = Arc::clone(edge.context());
     eventually("all are known", || members(&context) == WATCHERS + 1).await;
-    // Ends the watch that was under way before the box knew that others watch.
+    // Completes the watch that began before the box knew of the other followers.
     store.write(with_route(2));
     has_route(&edge, 2).await;
     for version in 3..6 {
@@ -127,12 +130,12 @@
     }
 }
 
-/// Nobody tells the box anything, and no caller has come for a while: the first one that does
-/// is served by what has been in force for as long as that may take, 2 s.
+/// The box gets no updates from peers and has had no callers for a while. Its first caller must
+/// be served by a configuration that is out of date by at most 2 s.
 #[tokio::test]
 async fn a_box_without_callers_knows_what_is_in_force_when_one_comes() {
     const WATCHERS: usize = 3;
-    /// Longer than a box is taken to have callers after the last one.
+    /// Longer than a box counts as having callers after the last one.
     const NO_CALLERS: Duration = Duration::from_millis(3_200);
     const IN_FORCE: Duration = Duration::from_secs(2);
     let store = MemoryStore::default();
@@ -144,7 +147,7 @@
     }
     let context = Arc::clone(edge.context());
     eventually("all are known", || members(&context) == WATCHERS + 1).await;
-    // Ends the watch that was under way before the box knew that others watch.
+    // Completes the watch that began before the box knew of the other followers.
     store.write(with_route(2));
     has_route(&edge, 2).await;
     for version in 3..6 {
@@ -163,11 +166,11 @@
     context.directory_answer(&zone, &region).addresses.len()
 }
 
-/// Somebody always knows more where much is written; who gets it from others all the while
-/// leaves the store alone.
+/// With frequent writes some peer is always ahead; a box that keeps receiving updates from
+/// peers makes no calls to the store.
 #[tokio::test]
 async fn a_box_that_is_told_again_and_again_does_not_ask_the_store() {
-    /// Longer than other boxes are relied on, three times over.
+    /// Three times as long as a box relies on its peers.
     const FOR: Duration = Duration::from_secs(4);
     const EVERY: Duration = Duration::from_millis(40);
     let store = MemoryStore::default();
@@ -185,7 +188,7 @@
         eventually("all are known", || members(&context) == boxes.len()).await;
     }
     let nothing = || Change::Gone(ChangeKey::Upstream(UpstreamId::new("none")));
-    // Ends the watches of boxes that don't follow the store any more.
+    // Completes the watches of boxes that no longer follow the store.
     store.write(with_route(2));
     store.write(nothing());
     for (edge, _) in &boxes {
@@ -212,7 +215,7 @@
 
 #[tokio::test]
 async fn a_box_that_trickles_holds_nobody_up() {
-    /// Half of the time that a large answer may take.
+    /// Half of the time limit of a large reply, in pieces.
     const MOST: usize = 40;
     let store = MemoryStore::default();
     store.write(Change::Config(Arc::new(config(1))));
@@ -224,7 +227,7 @@
     tokio::spawn(know_all(socket, near.addresses().peers));
     let context = Arc::clone(near.context());
     eventually("all are known", || members(&context) == 3).await;
-    // Ends the watch that was under way when the fault began.
+    // Completes the watch that was in progress when the fault began.
     store.write(with_route(2));
     has_route(&near, 2).await;
     for version in 3..6 {
--- a/crates/edge/tests/store_calls.rs
+++ b/crates/edge/tests/store_calls.rs
@@ -1,4 +1,4 @@
-//! How often a fleet calls the store, with real boxes in one process.
+//! The rate of store calls of a fleet, with real boxes in one process.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Boxes of the fleet.
+/// Number of boxes.
 const BOXES: usize = 16;
 
 /// How long calls are counted.
@@ -22,7 +22,7 @@
     boxes: Vec<(EdgeHandle, MemoryStore)>,
 }
 
-/// Boxes that are all told to ask the first one, and start at the same moment.
+/// Starts boxes at the same moment, with the first one as their seed.
 async fn fleet() -> Fleet {
     let store = MemoryStore::default();
     store.write(Change::Config(Arc::new(config(1))));
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Calls while clients ask every box, again and again.
+    /// Returns the number of store calls while clients keep sending requests to every box.
     async fn calls_under_load(&self) -> u64 {
         const EVERY: Duration = Duration::from_millis(250);
         let before = self.store.calls();
@@ -74,7 +74,7 @@
 #[tokio::test]
 async fn boxes_that_start_at_once_learn_from_the_first_what_the_store_holds() {
     let fleet = fleet().await;
-    // Each by itself: two listings, two watches and a registration.
+    // Each box by itself would make two listings, two watches and a registration.
     let calls = fleet.store.calls();
     assert!(calls <= 2 * BOXES as u64, "{calls} calls of {BOXES} boxes");
 }
@@ -106,12 +106,12 @@
         tokio::time::sleep(Duration::from_millis(300)).await;
     }
     let calls = fleet.store.calls() - before;
-    // Two for each change, and what confirms that nothing was missed.
+    // Two per change, and the calls that confirm that nothing was missed.
     assert!(calls <= 36, "{calls} calls for 10 changes");
 }
 
-/// The store keeps no history for a while: whoever follows it lists again and again, and tells
-/// the others that they miss nothing.
+/// While the store keeps no history, its followers list again and again, and report to the
+/// others that their views are complete.
 #[tokio::test]
 async fn while_the_store_forgets_its_history_the_others_leave_it_to_those_that_follow() {
     const EVERY: Duration = Duration::from_millis(50);
@@ -141,7 +141,8 @@
     tokio::time::sleep(COUNTED).await;
     fleet.set_fault(StoreFault::TurnedAway);
     let calls = fleet.calls_under_load().await;
-    // Two boxes, two scopes, about three tries a second, and those that step in for them.
+    // Two boxes with two scopes, about three attempts per second each, and the boxes that step
+    // in for them.
     assert!(calls <= 110, "{calls} calls in the outage");
     let mut newer = config(2);
     newer
@@ -152,7 +153,7 @@
     for (edge, _) in &fleet.boxes {
         let clients = edge.addresses().clients;
         let mut tries = 0;
-        // There are no upstreams: 503 is the route's answer.
+        // There are no upstreams, so the route answers 503.
         while call(clients, request("GET", "/new/1", ""))
             .await
             .unwrap()
--- a/crates/edge/tests/upstream_limits.rs
+++ b/crates/edge/tests/upstream_limits.rs
@@ -1,9 +1,10 @@
-//! An upstream in need named a limit in its answers, requests a second from all boxes together.
-//! Boxes passed the answers on to their clients and sent to it as before: one that had named 9 a
-//! second got 103 requests in 4 s from boxes that it had told, where 59 are allowed. Nothing read
-//! the limit, and since the upstream turned nothing away, its load told of no need. What settled it
-//! were 19 to 28 arrivals a second before it named its limit and 20 to 34 after, and lines of boxes that it
-//! had told, such as `BW510 ... tries=1 ms=189 home_is=free fullness=0.65`.
+//! Guards against boxes that ignore the rate limit, requests per second from all boxes
+//! together, that an overloaded upstream sets in its answers. Boxes forwarded the answers to
+//! clients and sent as before: an upstream that set a limit of 9 per second got 103 requests in
+//! 4 s from boxes that had received it, where 59 are allowed. Nothing read the limit, and since
+//! the upstream rejected nothing, its load reports showed no overload. The evidence was 19 to
+//! 28 arrivals per second before the limit and 20 to 34 after it, and log lines of boxes that
+//! had received it, such as `BW510 ... tries=1 ms=189 home_is=free fullness=0.65`.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
@@ -14,18 +15,19 @@
 use common::fleet::{BOXES, Fleet, PAUSE, served};
 use std::time::{Duration, Instant};
 
-/// How long after an upstream first names its limit all boxes have to keep it.
+/// Time for all boxes to apply a limit after an upstream first sets it.
 const LEARNED_WITHIN: Duration = Duration::from_secs(3);
 
-/// The span in which requests are counted.
+/// The window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 
-/// Requests in a span that are allowed under a limit of `per_s`: half as many again, and five.
+/// Returns the requests allowed per window under a limit of `per_s`: 1.5 times the limit, and
+/// five.
 fn allowed(per_s: f64) -> usize {
     (per_s * WINDOW.as_secs_f64() * 1.5 + 5.0) as usize
 }
 
-/// The most requests in one span that came to `upstream` after `from`.
+/// Returns the most requests to `upstream` in any window that begins after `from`.
 fn most_in_window(upstream: &Upstream, from: Instant) -> usize {
     let seen = upstream.seen();
     let at: Vec<Instant> = seen.iter().map(|seen| seen.at).collect();
@@ -59,7 +61,7 @@
         assert!(text.contains("brasswinch_upstreams_limited 1"), "{text}");
         assert!(text.contains("limit_requests_total{service=\"desk\",outcome=\"held_off\"}"));
     }
-    // What it doesn't take goes elsewhere: the others have room for all of it.
+    // Requests beyond the limit go to other upstreams, which have capacity for all of them.
     let served = served(&answers);
     assert!(
         served * 100 >= answers.len() * 95,
@@ -75,7 +77,7 @@
     home.name_limits(&["0.5"]);
     fleet.press(LEARNED_WITHIN).await;
     home.name_limits(&[]);
-    // Requests under the limit are two seconds apart, and one of them learns of its end.
+    // Requests under the limit are two seconds apart, and one of them shows that it has ended.
     fleet.press(LEARNED_WITHIN + WINDOW).await;
     let before = home.seen().len();
     let answers = fleet.press(Duration::from_secs(1)).await;
