--- a/crates/edge/src/upstream_limits.rs
+++ b/crates/edge/src/upstream_limits.rs
@@ -129,8 +129,8 @@
         })
     }
 
-    /// Says whether a request may be sent to the chosen upstream now; asks the keeper of its
-    /// limit where it names one.
+    /// Returns whether a request may be sent to the chosen upstream now; queries the
+    /// coordinator of the upstream's limit if it sets one.
     async fn request_grant(&self, choice: &Choice, left: Duration) -> Result<Grant, LimitRefusal> {
         let (id, random, now) = (rand::random(), rand::random(), self.clock.now());
         let admission =
