--- a/crates/decide/src/slots.rs
+++ b/crates/decide/src/slots.rs
@@ -320,7 +320,9 @@
         for slot in 0..self.slots.len() as u32 {
             let entry = &mut self.slots[slot as usize];
             let Ownership::Borrowed {
-                lender, start_before, ..
+                lender,
+                start_before,
+                ..
             } = &mut entry.ownership
             else {
                 continue;
