--- a/crates/edge/src/asking.rs
+++ b/crates/edge/src/asking.rs
@@ -8,7 +8,9 @@
 use crate::datagram::Datagram;
 use crate::waiters::Waiters;
 use brasswinch_observe::{Event, emit};
-use brasswinch_routing::{Advice, Choice, Ending, LoadReport, Question, UpstreamOutcome, Wanted};
+use brasswinch_routing::{
+    Advice, AdviceQuery, Choice, CompletionReport, LoadReport, UpstreamOutcome, UpstreamRequest,
+};
 use brasswinch_types::{BoxId, Millis};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -53,7 +55,7 @@
     context: Arc<Context>,
     /// The coordinator's address; `None` if it is this box.
     coordinator: Option<SocketAddr>,
-    completion: Ending,
+    completion: CompletionReport,
 }
 
 impl Asked {
@@ -79,7 +81,7 @@
         match self.coordinator {
             None => self.context.handle_completion(&self.completion),
             Some(coordinator) => {
-                let completion = Datagram::Ending(self.completion.clone());
+                let completion = Datagram::CompletionReport(self.completion.clone());
                 self.context.send_datagram(&completion, coordinator);
             }
         }
@@ -90,24 +92,24 @@
 /// reports the request's end, and the advice if it came in time.
 pub(crate) async fn ask(
     context: &Arc<Context>,
-    wanted: &Wanted<'_>,
+    wanted: &UpstreamRequest<'_>,
     left: Duration,
 ) -> (Option<Asked>, Option<Advice>) {
     let now = context.clock.now();
     let left_ms = left.as_millis() as Millis;
-    let question = context
+    let advice_query = context
         .placement()
-        .question(wanted, rand::random(), left_ms, now);
-    let Some((coordinator, question)) = question else {
+        .advice_query(wanted, rand::random(), left_ms, now);
+    let Some((coordinator, advice_query)) = advice_query else {
         return (None, None);
     };
     let asked = |coordinator| Asked {
         context: Arc::clone(context),
         coordinator,
-        completion: Ending {
-            id: question.id,
-            service: question.service.clone(),
-            object: question.object,
+        completion: CompletionReport {
+            id: advice_query.id,
+            service: advice_query.service.clone(),
+            object: advice_query.object,
             upstream: None,
             started: None,
             outcome: UpstreamOutcome::Abandoned,
@@ -115,7 +117,7 @@
         },
     };
     if coordinator == context.settings.id {
-        let advice = context.placement().advise(&question, now);
+        let advice = context.placement().advise(&advice_query, now);
         return (Some(asked(None)), advice);
     }
     let Some(address) = context.peer_address(&coordinator) else {
@@ -126,7 +128,9 @@
         return (Some(asked(Some(address))), None);
     }
     let asked = asked(Some(address));
-    let advice = context.query_peer(&coordinator, address, question).await;
+    let advice = context
+        .query_peer(&coordinator, address, advice_query)
+        .await;
     (Some(asked), advice)
 }
 
@@ -152,10 +156,10 @@
         &self,
         coordinator: &BoxId,
         address: SocketAddr,
-        question: Question,
+        advice_query: AdviceQuery,
     ) -> Option<Advice> {
-        let waiting = self.asking.waiters.wait(question.id);
-        self.send_datagram(&Datagram::Question(question), address);
+        let waiting = self.asking.waiters.wait(advice_query.id);
+        self.send_datagram(&Datagram::AdviceQuery(advice_query), address);
         let advice = waiting.within(self.settings.keeper_wait).await;
         match advice {
             Some(_) => self.asking.mark_reachable(coordinator),
@@ -165,9 +169,9 @@
     }
 
     /// Replies to another box's query.
-    pub(crate) fn handle_advice_query(&self, question: &Question, from: SocketAddr) {
+    pub(crate) fn handle_advice_query(&self, advice_query: &AdviceQuery, from: SocketAddr) {
         let now = self.clock.now();
-        let advice = self.placement().advise(question, now);
+        let advice = self.placement().advise(advice_query, now);
         if let Some(advice) = advice {
             self.send_datagram(&Datagram::Advice(advice), from);
         }
@@ -190,9 +194,9 @@
     }
 
     /// Handles the completion report of a request that this box coordinates.
-    pub(crate) fn handle_completion(&self, completion: &Ending) {
+    pub(crate) fn handle_completion(&self, completion: &CompletionReport) {
         let now = self.clock.now();
-        self.placement().ended_elsewhere(completion, now);
+        self.placement().record_completion(completion, now);
     }
 
     /// Sends one datagram; drops it if the socket is not ready.
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -166,10 +166,10 @@
             me: settings.id.clone(),
             region: settings.region(),
             zones: settings.zones.clone(),
-            most_shift: settings.bounds.most_shift,
-            keep_vanished_ms: (settings.bounds.drain_s * 1_000.0 * RETAINED_FRACTION) as Millis,
+            max_shift: settings.bounds.max_shift,
+            retain_lost_ms: (settings.bounds.drain_s * 1_000.0 * RETAINED_FRACTION) as Millis,
             after_evacuation_ms: heartbeat_ms + ENTRY_LAG_MS,
-            least_keepers: MIN_COORDINATORS,
+            min_coordinators: MIN_COORDINATORS,
         });
         let bounds = &settings.bounds;
         let shortest_s = bounds.drain_s.min(bounds.config_apply_s);
@@ -285,9 +285,12 @@
             self.pool.close(restarted);
             emit(Event::UpstreamRestarted, format_args!("{restarted}"));
         }
-        let kept = updated.kept;
-        if !kept.is_empty() {
-            emit(Event::EntriesKept, format_args!("{}", UpstreamList(&kept)));
+        let retained = updated.retained;
+        if !retained.is_empty() {
+            emit(
+                Event::EntriesKept,
+                format_args!("{}", UpstreamList(&retained)),
+            );
         }
     }
 
@@ -345,7 +348,7 @@
         let mut placement = self.placement();
         placement.set_boxes(ids.into_iter(), demand.by_region());
         placement.set_fleet_size(self.fleet_size.boxes());
-        placement.set_keepers(coordinators);
+        placement.set_coordinators(coordinators);
         drop(placement);
         drop(swim);
         self.set_quota_boxes();
--- a/crates/edge/src/datagram.rs
+++ b/crates/edge/src/datagram.rs
@@ -2,8 +2,8 @@
 
 use crate::health::ColdNews;
 use brasswinch_routing::{
-    Advice, Ending, LimitNews, LimitQuestion, LimitWord, Question, QuotaCount, QuotaWord,
-    RunReport, SwimMessage,
+    Advice, AdviceQuery, CompletionReport, LimitNews, LimitQuestion, LimitWord, QuotaCount,
+    QuotaWord, RunReport, SwimMessage,
 };
 use serde::{Deserialize, Serialize};
 
@@ -15,13 +15,13 @@
     Swim(SwimMessage),
     /// Asks an upstream's owner where to send a request.
     #[serde(rename = "q")]
-    Question(Question),
+    AdviceQuery(AdviceQuery),
     /// The reply to a placement request.
     #[serde(rename = "a")]
     Advice(Advice),
     /// Reports the outcome of a request to the owner that was asked where to send it.
     #[serde(rename = "e")]
-    Ending(Ending),
+    CompletionReport(CompletionReport),
     /// Reports a request of a workspace with a quota to the quota's owner; may ask to send it.
     #[serde(rename = "c")]
     QuotaCount(QuotaCount),
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -17,7 +17,7 @@
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
     ConfigVersion, KnownWorkspace, Rank, Refusal, RegionLimits, RequestDigest, RequestIdentity,
-    RequestShape, Route, Suspect, UpstreamLife, Verdict, Wanted,
+    RequestShape, Route, Suspect, UpstreamIncarnation, UpstreamRequest, Verdict,
 };
 use brasswinch_types::{ErrorKind, Ran, Service};
 use http::request::Parts;
@@ -274,7 +274,7 @@
             if let Some(permit) = permit.as_deref_mut() {
                 permit.runs();
             }
-            let life = chosen.choice.life();
+            let incarnation = chosen.choice.incarnation();
             let kind = match attempt(self.context, chosen, outgoing).await {
                 AttemptOutcome::Response(response) => {
                     let count = attempts.upstreams.len();
@@ -297,7 +297,7 @@
                     ErrorKind::UpstreamRefused
                 }
                 AttemptOutcome::ConnectionLost => {
-                    self.report_connection_lost(&attempts, &life);
+                    self.report_connection_lost(&attempts, &incarnation);
                     ErrorKind::UpstreamBroken
                 }
                 AttemptOutcome::InvalidResponse => ErrorKind::UpstreamBroken,
@@ -311,11 +311,11 @@
     }
 
     /// Reports to the quarantine that the upstream's connection closed during the last attempt.
-    fn report_connection_lost(&self, attempts: &Attempts, life: &UpstreamLife) {
+    fn report_connection_lost(&self, attempts: &Attempts, incarnation: &UpstreamIncarnation) {
         let suspect = self.suspect(attempts);
         let digest = self.digest(attempts);
         self.context
-            .run_broke(digest, &suspect, life, attempts.began);
+            .run_broke(digest, &suspect, incarnation, attempts.began);
     }
 
     fn identity<'a>(&'a self, attempts: &'a Attempts) -> RequestIdentity<'a> {
@@ -455,7 +455,7 @@
             .placement_key
             .as_ref()
             .map(|digest| digest.as_slice());
-        let wanted = Wanted {
+        let wanted = UpstreamRequest {
             service: &self.service,
             object: placement_key.or(self.facts.object),
             rank: Rank {
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/figures.rs
@@ -154,12 +154,12 @@
                 ("usable", status.usable),
                 ("cold", status.cold),
                 ("held_off", status.held_off),
-                ("resting", status.resting),
-                ("left_out", status.left_out),
+                ("resting", status.backing_off),
+                ("left_out", status.excluded),
                 ("leaving", status.leaving),
                 ("evacuated", status.evacuated),
                 ("replaced", status.replaced),
-                ("kept", status.kept.len()),
+                ("kept", status.retained.len()),
             ];
             for (state, count) in states {
                 let labels = format!("service=\"{service}\",state=\"{state}\"");
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -94,9 +94,9 @@
 
 fn receive(context: &Context, datagram: &[u8], from: SocketAddr) -> Vec<(SocketAddr, SwimMessage)> {
     match ciborium::from_reader::<Datagram, _>(datagram) {
-        Ok(Datagram::Question(question)) => context.handle_advice_query(&question, from),
+        Ok(Datagram::AdviceQuery(question)) => context.handle_advice_query(&question, from),
         Ok(Datagram::Advice(advice)) => context.handle_advice(advice, from),
-        Ok(Datagram::Ending(completion)) => context.handle_completion(&completion),
+        Ok(Datagram::CompletionReport(completion)) => context.handle_completion(&completion),
         Ok(Datagram::QuotaCount(count)) => context.handle_quota_count(&count, from),
         Ok(Datagram::QuotaWord(reply)) => context.handle_quota_reply(reply, from),
         Ok(Datagram::RunReport(report)) => context.handle_crash_report(&report, from),
--- a/crates/edge/src/health.rs
+++ b/crates/edge/src/health.rs
@@ -11,7 +11,7 @@
 use crate::upstream_signals::{InvalidSignal, cold_time};
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
-    HealthAsker, HealthAskers, Scope, UpstreamLife, UpstreamRecord, UpstreamState,
+    HealthProber, HealthProbers, Scope, UpstreamIncarnation, UpstreamRecord, UpstreamState,
 };
 use brasswinch_types::{ColdTime, UpstreamSignal};
 use bytes::Bytes;
@@ -49,7 +49,7 @@
 pub struct ColdNews {
     /// The upstream.
     #[serde(rename = "l")]
-    pub life: UpstreamLife,
+    pub incarnation: UpstreamIncarnation,
     /// How much longer it stays cold, in milliseconds.
     #[serde(rename = "m")]
     pub for_ms: u64,
@@ -157,7 +157,7 @@
         Ok(cold) => Ok(cold.filter(|cold| cold.ms() > 0)),
         Err(error) => {
             let signal = UpstreamSignal::Cold;
-            context.record_invalid_signal(&record.life(), InvalidSignal { signal, error });
+            context.record_invalid_signal(&record.incarnation(), InvalidSignal { signal, error });
             Ok(None)
         }
     }
@@ -197,34 +197,34 @@
             let service = in_force.config.services.get(&record.service);
             service.is_some_and(|service| !service.health_path.is_empty())
         };
-        let probers: Vec<HealthAsker> = self
+        let probers: Vec<HealthProber> = self
             .swim()
             .serving_boxes()
-            .map(|record| HealthAsker {
+            .map(|record| HealthProber {
                 id: record.id.clone(),
                 zone: record.zone.clone(),
             })
             .collect();
         let zones = &self.settings.zones;
-        let probers = HealthAskers::new(&self.settings.id, zones, probers.into_iter());
+        let probers = HealthProbers::new(&self.settings.id, zones, probers.into_iter());
         let mine: Vec<UpstreamRecord> = self
             .fleet()
             .upstreams()
             .map(|(record, _)| record)
             .filter(|record| record.state == UpstreamState::Ready && has_path(record))
-            .filter(|record| probers.asks(record))
+            .filter(|record| probers.probes(record))
             .cloned()
             .collect();
         let now = self.clock.now();
         let placement = self.placement();
-        let needs_probe = |record: &UpstreamRecord| !placement.is_cold(&record.life(), now);
+        let needs_probe = |record: &UpstreamRecord| !placement.is_cold(&record.incarnation(), now);
         mine.into_iter().filter(needs_probe).collect()
     }
 
     /// Records that an upstream is cold, and notifies all boxes.
     async fn announce_cold(&self, record: &UpstreamRecord, cold: ColdTime) {
         let notice = ColdNews {
-            life: record.life(),
+            incarnation: record.incarnation(),
             for_ms: cold.ms(),
         };
         self.record_cold(&notice, "health");
@@ -257,9 +257,9 @@
         let now = self.clock.now();
         let is_new = self
             .placement()
-            .turned_cold(&notice.life, notice.for_ms, now);
+            .record_cold(&notice.incarnation, notice.for_ms, now);
         if is_new {
-            let (upstream, for_ms) = (&notice.life.upstream, notice.for_ms);
+            let (upstream, for_ms) = (&notice.incarnation.upstream, notice.for_ms);
             emit(
                 Event::UpstreamCold,
                 format_args!("upstream={upstream} for_ms={for_ms} from={source}"),
--- a/crates/edge/src/look_up.rs
+++ b/crates/edge/src/look_up.rs
@@ -1,7 +1,7 @@
 //! Answers directory look-ups: which boxes a client may use.
 
 use crate::context::Context;
-use brasswinch_routing::{Liveness, MemberRecord, MemberState, NamedBox, named};
+use brasswinch_routing::{CandidateBox, Liveness, MemberRecord, MemberState, select_boxes};
 use brasswinch_types::{Region, Zone};
 use std::net::SocketAddr;
 
@@ -34,7 +34,7 @@
         let region = self.settings.zones.get(zone).unwrap_or(region);
         let is_near =
             |record: &&&MemberRecord| self.settings.zones.get(&record.zone) == Some(region);
-        let mut near: Vec<NamedBox> = all
+        let mut near: Vec<CandidateBox> = all
             .iter()
             .filter(is_near)
             .map(|record| named_box(record))
@@ -43,14 +43,14 @@
             near = all.iter().map(|record| named_box(record)).collect();
         }
         DirectoryAnswer {
-            addresses: named(&near, zone, &mut rand::rng()),
+            addresses: select_boxes(&near, zone, &mut rand::rng()),
             ttl_s: LOOKUP_TTL_S.min(self.settings.bounds.longest_lookup_ttl_s),
         }
     }
 }
 
-fn named_box(record: &MemberRecord) -> NamedBox {
-    NamedBox {
+fn named_box(record: &MemberRecord) -> CandidateBox {
+    CandidateBox {
         address: record.caller_address,
         zone: record.zone.clone(),
         // The link's bandwidth stands for the box's size: boxes with more CPU have more bandwidth.
--- a/crates/edge/src/quarantine.rs
+++ b/crates/edge/src/quarantine.rs
@@ -7,7 +7,7 @@
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
     BrokenRun, MemberRecord, Quarantine, QuarantineBox, QuarantineChange, QuarantineNews,
-    RequestDigest, RequestShape, RunReport, ShutOutStatus, Suspect, UpstreamLife, Verdict,
+    RequestDigest, RequestShape, RunReport, ShutOutStatus, Suspect, UpstreamIncarnation, Verdict,
 };
 use brasswinch_types::BoxId;
 use std::fmt;
@@ -57,7 +57,7 @@
         &self,
         digest: RequestDigest,
         suspect: &Suspect,
-        at: &UpstreamLife,
+        at: &UpstreamIncarnation,
         began: Instant,
     ) {
         let now = self.clock.now();
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -33,7 +33,7 @@
     pub retry_window_s: f64,
     /// Maximum share of a region's requests that may move to another region from one 2 s window to
     /// the next.
-    pub most_shift: f64,
+    pub max_shift: f64,
     /// Maximum time for which a client may cache a look-up's answer.
     pub longest_lookup_ttl_s: f64,
     /// Interval at which upstreams renew their entries in the store.
@@ -54,7 +54,7 @@
             retry_ratio: 0.2,
             retry_extra: 60.0,
             retry_window_s: 10.0,
-            most_shift: 0.15,
+            max_shift: 0.15,
             longest_lookup_ttl_s: 5.0,
             upstream_heartbeat_s: 1.5,
             quota: QuotaBounds {
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -195,22 +195,22 @@
         usable,
         cold,
         held_off,
-        resting,
-        left_out,
+        backing_off,
+        excluded,
         leaving,
         evacuated,
         replaced,
-        kept,
+        retained,
     } = status;
     writeln!(
         f,
-        "upstreams of {service}: {usable} usable, {cold} cold, {held_off} held off, {resting} resting, {left_out} left out, \
+        "upstreams of {service}: {usable} usable, {cold} cold, {held_off} held off, {backing_off} resting, {excluded} left out, \
          {leaving} leaving, {evacuated} evacuated, {replaced} replaced, {} kept",
-        kept.len()
+        retained.len()
     )?;
-    kept.iter().try_for_each(|kept| {
-        let (lost_ms, for_ms) = (kept.lost_ms, kept.kept_for_ms);
-        let upstream = &kept.upstream;
+    retained.iter().try_for_each(|retained| {
+        let (lost_ms, for_ms) = (retained.lost_ms, retained.retained_for_ms);
+        let upstream = &retained.upstream;
         writeln!(
             f,
             "  {upstream} kept: entry lost {lost_ms} ms ago, {for_ms} ms left"
--- a/crates/edge/src/upstream_limits.rs
+++ b/crates/edge/src/upstream_limits.rs
@@ -9,8 +9,8 @@
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
     Basis, Choice, LimitAdmission, LimitAnswer, LimitBox, LimitChange, LimitNews, LimitQuestion,
-    LimitRefusal, LimitStatus, LimitWord, MemberRecord, ToLimitKeeper, UpstreamLife, UpstreamLimit,
-    UpstreamLimits, UpstreamOutcome,
+    LimitRefusal, LimitStatus, LimitWord, MemberRecord, ToLimitKeeper, UpstreamIncarnation,
+    UpstreamLimit, UpstreamLimits, UpstreamOutcome,
 };
 use brasswinch_types::{BoxId, Millis, Region, Zone};
 use std::collections::BTreeMap;
@@ -136,7 +136,7 @@
         let admission =
             self.upstream_limits
                 .lock()
-                .admit(&choice.life(), &choice.zone, id, random, now);
+                .admit(&choice.incarnation(), &choice.zone, id, random, now);
         let decided = match admission {
             LimitAdmission::Ask(message) => self.query_limit(message, left, random).await,
             decided => decided,
@@ -181,7 +181,7 @@
         let now = self.clock.now();
         let change = self.upstream_limits.lock().hear_news(update, now);
         self.send_limit_updates();
-        report_change(&update.life, change, "peer");
+        report_change(&update.incarnation, change, "peer");
     }
 
     /// Records the limit that the chosen upstream's answer carries, or that it carries none.
@@ -189,9 +189,9 @@
         if limit.is_none() && self.upstream_limits.lock().is_empty() {
             return;
         }
-        let life = choice.life();
+        let incarnation = choice.incarnation();
         let answer = LimitAnswer {
-            life: &life,
+            incarnation: &incarnation,
             zone: &choice.zone,
             limit,
             had_grant: grant == Grant::Given,
@@ -200,7 +200,7 @@
         let change = self.upstream_limits.lock().named(&answer, now);
         if change.is_some() {
             self.send_limit_updates();
-            report_change(&life, change, "answer");
+            report_change(&incarnation, change, "answer");
         }
     }
 
@@ -230,7 +230,7 @@
     pub(crate) fn retain_limits(&self) {
         let placement = self.placement();
         let mut limits = self.upstream_limits.lock();
-        limits.retain(|life| placement.holds(life));
+        limits.retain(|incarnation| placement.contains(incarnation));
     }
 }
 
@@ -242,8 +242,8 @@
     }
 }
 
-fn report_change(life: &UpstreamLife, change: Option<LimitChange>, source: &str) {
-    let upstream = &life.upstream;
+fn report_change(incarnation: &UpstreamIncarnation, change: Option<LimitChange>, source: &str) {
+    let upstream = &incarnation.upstream;
     match change {
         Some(LimitChange::Named(limit)) => emit(
             Event::UpstreamLimited,
--- a/crates/edge/src/upstream_signals.rs
+++ b/crates/edge/src/upstream_signals.rs
@@ -5,7 +5,7 @@
 use crate::dialect::Dialect;
 use crate::upstream_limits::Grant;
 use brasswinch_observe::{Event, emit};
-use brasswinch_routing::{Choice, LoadReport, UpstreamLife, UpstreamLimit};
+use brasswinch_routing::{Choice, LoadReport, UpstreamIncarnation, UpstreamLimit};
 use brasswinch_types::{
     ColdTime, UpstreamId, UpstreamRest, UpstreamSignal, UpstreamSignalError, only_value,
 };
@@ -135,27 +135,31 @@
             LimitSignal::Limited(limit) => self.hear_limit(choice, grant, Some(limit)),
         }
         let upstream = &choice.upstream;
-        if signals.is_leaving && self.placement().leaves(choice) {
+        if signals.is_leaving && self.placement().record_leaving(choice) {
             let detail = format_args!("upstream={upstream} from=answer");
             emit(Event::UpstreamLeaving, detail);
         }
         if let Some(rest) = signals.retry_after
-            && self.placement().rests(choice, rest, now)
+            && self.placement().record_backoff(choice, rest, now)
         {
             let for_ms = rest.ms();
             let detail = format_args!("upstream={upstream} for_ms={for_ms}");
             emit(Event::UpstreamResting, detail);
         }
-        if signals.invalid.is_empty() || !self.placement().says_unreadable(choice) {
+        if signals.invalid.is_empty() || !self.placement().record_unreadable_signal(choice) {
             return;
         }
         log_invalid_signals(upstream, &signals.invalid);
     }
 
     /// Records a signal in an upstream's health response that could not be parsed.
-    pub(crate) fn record_invalid_signal(&self, life: &UpstreamLife, invalid: InvalidSignal) {
-        if self.placement().health_is_unreadable(life) {
-            log_invalid_signals(&life.upstream, &[invalid]);
+    pub(crate) fn record_invalid_signal(
+        &self,
+        incarnation: &UpstreamIncarnation,
+        invalid: InvalidSignal,
+    ) {
+        if self.placement().record_unreadable_health(incarnation) {
+            log_invalid_signals(&incarnation.upstream, &[invalid]);
         }
     }
 }
--- a/crates/lab/src/replay/fleet.rs
+++ b/crates/lab/src/replay/fleet.rs
@@ -121,7 +121,7 @@
         let region = self.boxes[number].place.region;
         let near = self.boxes.iter().filter(|held| held.place.region == region);
         let keepers: Vec<BoxId> = near.map(|held| held.id.clone()).collect();
-        self.boxes[number].placement.set_keepers(keepers);
+        self.boxes[number].placement.set_coordinators(keepers);
     }
 
     /// The box starts again and learns of boxes and upstreams, but not of their load.
@@ -177,10 +177,10 @@
         me: id.clone(),
         region: Region::new(REGIONS[region].name),
         zones: zones(),
-        most_shift: MOST_SHIFT,
-        keep_vanished_ms: 1_500,
+        max_shift: MOST_SHIFT,
+        retain_lost_ms: 1_500,
         after_evacuation_ms: 3_000,
-        least_keepers: 1,
+        min_coordinators: 1,
     })
 }
 
--- a/crates/lab/src/replay/play.rs
+++ b/crates/lab/src/replay/play.rs
@@ -7,8 +7,8 @@
 use super::pattern::{Disturbance, LoadPattern, REGIONS};
 use super::upstream::{Begun, Job, Upstream};
 use brasswinch_routing::{
-    Advice, Choice, Ending, LoadReport, Rank, Refusal, RegionLimits, UpstreamOutcome, Wanted,
-    object_hash,
+    Advice, Choice, CompletionReport, LoadReport, Rank, Refusal, RegionLimits, UpstreamOutcome,
+    UpstreamRequest, object_hash,
 };
 use brasswinch_types::{BoxId, Millis, UpstreamId};
 use rand::rngs::StdRng;
@@ -331,7 +331,7 @@
         let (at_box, object) = (held.at_box, held.object.to_le_bytes());
         let (tried, anywhere) = (held.tried.clone(), BTreeSet::new());
         let service = self.fleet.service.clone();
-        let wanted = Wanted {
+        let wanted = UpstreamRequest {
             service: &service,
             object: Some(&object),
             rank: Rank::default(),
@@ -372,7 +372,7 @@
     fn ask(
         &mut self,
         request: usize,
-        wanted: &Wanted<'_>,
+        wanted: &UpstreamRequest<'_>,
         now: Millis,
     ) -> Option<((BoxId, u64), Option<Advice>)> {
         let lost_of_100 = match self.knowledge {
@@ -388,13 +388,13 @@
         let at_box = self.requests[request].at_box;
         let left_ms = DEADLINE_MS as Millis;
         let placement = &mut self.fleet.boxes[at_box].placement;
-        let (keeper, question) = placement.question(wanted, id, left_ms, now)?;
+        let (keeper, advice_query) = placement.advice_query(wanted, id, left_ms, now)?;
         let is_lost = self.random.random_range(0..100) < lost_of_100;
         let asked = self.fleet.by_id[&keeper];
         let advice = if is_lost {
             None
         } else {
-            self.fleet.boxes[asked].placement.advise(&question, now)
+            self.fleet.boxes[asked].placement.advise(&advice_query, now)
         };
         Some(((keeper, id), advice))
     }
@@ -530,7 +530,7 @@
             return;
         };
         let object = self.requests[request].object.to_le_bytes();
-        let ending = Ending {
+        let ending = CompletionReport {
             started: None,
             id,
             service: self.fleet.service.clone(),
@@ -542,6 +542,6 @@
         let now = self.now();
         let keeper = self.fleet.by_id[&keeper];
         let placement = &mut self.fleet.boxes[keeper].placement;
-        placement.ended_elsewhere(&ending, now);
+        placement.record_completion(&ending, now);
     }
 }
--- a/crates/routing/src/health_askers.rs
+++ b/crates/routing/src/health_probers.rs
@@ -12,7 +12,7 @@
 
 /// A serving box that may probe upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HealthAsker {
+pub struct HealthProber {
     /// The box.
     pub id: BoxId,
     /// Its zone.
@@ -21,7 +21,7 @@
 
 /// The boxes that may probe upstreams, as one of them sees them.
 #[derive(Debug)]
-pub struct HealthAskers<'a> {
+pub struct HealthProbers<'a> {
     me: u64,
     zones: &'a BTreeMap<Zone, Region>,
     by_zone: BTreeMap<Zone, Vec<u64>>,
@@ -31,18 +31,18 @@
     object_hash("health", id.as_str().as_bytes())
 }
 
-impl<'a> HealthAskers<'a> {
+impl<'a> HealthProbers<'a> {
     /// Creates the set from the serving boxes and the region of each zone; `me` is one of the
     /// boxes.
     pub fn new(
         me: &BoxId,
         zones: &'a BTreeMap<Zone, Region>,
-        boxes: impl Iterator<Item = HealthAsker>,
+        boxes: impl Iterator<Item = HealthProber>,
     ) -> Self {
         let mut by_zone: BTreeMap<Zone, Vec<u64>> = BTreeMap::new();
-        for asker in boxes {
-            let hash = box_hash(&asker.id);
-            by_zone.entry(asker.zone).or_default().push(hash);
+        for prober in boxes {
+            let hash = box_hash(&prober.id);
+            by_zone.entry(prober.zone).or_default().push(hash);
         }
         Self {
             me: box_hash(me),
@@ -52,7 +52,7 @@
     }
 
     /// Whether this box probes the upstream.
-    pub fn asks(&self, upstream: &UpstreamRecord) -> bool {
+    pub fn probes(&self, upstream: &UpstreamRecord) -> bool {
         let candidates = self.nearest(&upstream.zone);
         if !candidates.contains(&self.me) {
             return false;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -11,7 +11,7 @@
 mod demand;
 mod fleet_size;
 mod fleet_state;
-mod health_askers;
+mod health_probers;
 mod look_up;
 mod news_source;
 mod placement;
@@ -43,12 +43,13 @@
 pub use demand::{AveragedDemand, DemandSample};
 pub use fleet_size::{FleetSize, KnownSize, REMEMBERED_MS};
 pub use fleet_state::{CatchUp, Claim, FleetState, LostEntry, PatchMismatch};
-pub use health_askers::{HealthAsker, HealthAskers};
-pub use look_up::{MOST_NAMED, NamedBox, named};
+pub use health_probers::{HealthProber, HealthProbers};
+pub use look_up::{CandidateBox, MAX_LISTED_BOXES, select_boxes};
 pub use news_source::{Candidate, Distance, NewsSources};
 pub use placement::{
-    Advice, AdvisedHome, Basis, Choice, Ending, Home, HomeState, KeptUpstream, Placement,
-    PlacementSettings, Question, Refusal, ServiceStatus, Updated, UpstreamOutcome, Wanted,
+    Advice, AdviceQuery, AdvisedHome, Basis, Choice, CompletionReport, Home, HomeState, Placement,
+    PlacementSettings, PlacementUpdate, Refusal, RetainedUpstream, ServiceStatus, UpstreamOutcome,
+    UpstreamRequest,
 };
 pub use quarantine::{
     BrokenRun, Quarantine, QuarantineBox, QuarantineChange, QuarantineNews, ReportError, RunReport,
@@ -58,7 +59,7 @@
     Admission, QuotaBounds, QuotaBox, QuotaCount, QuotaLoan, QuotaStatus, QuotaWord, Quotas,
     ToKeeper,
 };
-pub use region_plan::{RegionPlan, RegionRoom};
+pub use region_plan::{RegionCapacity, RegionPlan};
 pub use rendezvous::{object_hash, weighted_score};
 pub use request_digest::{RequestDigest, RequestIdentity, RequestShape};
 pub use retry_budget::{RetryBudget, RetryBudgetSettings};
@@ -67,7 +68,7 @@
 pub use swim::{
     KnownView, Liveness, Member, MemberRecord, MemberState, Swim, SwimMessage, SwimSettings,
 };
-pub use upstream::{UpstreamLife, UpstreamRecord, UpstreamStart, UpstreamState};
+pub use upstream::{UpstreamIncarnation, UpstreamRecord, UpstreamStart, UpstreamState};
 pub use upstream_limits::{
     LimitAdmission, LimitAnswer, LimitBox, LimitChange, LimitNews, LimitQuestion, LimitRefusal,
     LimitStatus, LimitWord, ToLimitKeeper, UpstreamLimit, UpstreamLimits,
--- a/crates/routing/src/look_up.rs
+++ b/crates/routing/src/look_up.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddr;
 
 /// Most boxes in one answer.
-pub const MOST_NAMED: usize = 64;
+pub const MAX_LISTED_BOXES: usize = 64;
 
 /// Smallest number of boxes for which the caller's zone is listed alone: with fewer, the loss of
 /// one is noticeable and a caller that skips it has hardly any alternative.
@@ -23,7 +23,7 @@
 
 /// A serving box as a candidate for a look-up.
 #[derive(Clone, Debug, PartialEq)]
-pub struct NamedBox {
+pub struct CandidateBox {
     /// The address for callers.
     pub address: SocketAddr,
     /// Its zone.
@@ -34,7 +34,7 @@
     pub requests_per_s: Option<f32>,
 }
 
-impl NamedBox {
+impl CandidateBox {
     /// Boxes of unknown size count as equal.
     fn weight(&self) -> f64 {
         f64::from(self.size.max(1))
@@ -42,8 +42,12 @@
 }
 
 /// Returns the boxes for a caller in `zone`; `region_boxes` are the boxes of its region.
-pub fn named(region_boxes: &[NamedBox], zone: &Zone, random: &mut impl Rng) -> Vec<SocketAddr> {
-    let own: Vec<&NamedBox> = region_boxes
+pub fn select_boxes(
+    region_boxes: &[CandidateBox],
+    zone: &Zone,
+    random: &mut impl Rng,
+) -> Vec<SocketAddr> {
+    let own: Vec<&CandidateBox> = region_boxes
         .iter()
         .filter(|candidate| &candidate.zone == zone)
         .collect();
@@ -57,7 +61,7 @@
 }
 
 /// Whether the zone's load per unit of size exceeds the region's average by the overload ratio.
-fn is_overloaded(region_boxes: &[NamedBox], zone: &Zone) -> bool {
+fn is_overloaded(region_boxes: &[CandidateBox], zone: &Zone) -> bool {
     let mut loads: BTreeMap<&Zone, (f64, f64)> = BTreeMap::new();
     for candidate in region_boxes {
         // The rate comes from other boxes; an invalid one counts as missing.
@@ -79,8 +83,8 @@
 
 /// Returns all candidates, or a weighted sample without replacement of as many as an answer holds
 /// (Efraimidis and Spirakis, 2006: the largest of `uniform^(1/weight)`).
-fn draw(candidates: Vec<&NamedBox>, random: &mut impl Rng) -> Vec<SocketAddr> {
-    if candidates.len() <= MOST_NAMED {
+fn draw(candidates: Vec<&CandidateBox>, random: &mut impl Rng) -> Vec<SocketAddr> {
+    if candidates.len() <= MAX_LISTED_BOXES {
         return candidates
             .iter()
             .map(|candidate| candidate.address)
@@ -94,6 +98,6 @@
         })
         .collect();
     drawn.sort_by(|a, b| b.0.total_cmp(&a.0));
-    drawn.truncate(MOST_NAMED);
+    drawn.truncate(MAX_LISTED_BOXES);
     drawn.into_iter().map(|(_, address)| address).collect()
 }
--- a/crates/routing/src/placement/advice.rs
+++ b/crates/routing/src/placement/advice.rs
@@ -14,9 +14,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Asks the coordinator of an object's home where to send a request. The coordinator counts the
-/// request until its [`Ending`] arrives or its time runs out.
+/// request until its [`CompletionReport`] arrives or its time runs out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Question {
+pub struct AdviceQuery {
     /// Identifies the request in the reply and the completion report; random, drawn by the asking
     /// box.
     #[serde(rename = "q")]
@@ -60,7 +60,7 @@
 
 /// Reports to the coordinator how a request that it was queried about ended.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ending {
+pub struct CompletionReport {
     /// The id of the query.
     #[serde(rename = "q")]
     pub id: u64,
--- a/crates/routing/src/placement/basis.rs
+++ b/crates/routing/src/placement/basis.rs
@@ -17,9 +17,9 @@
     /// Its limit leaves this box no capacity.
     HeldOff,
     /// It asked this box to back off.
-    Resting,
+    BackingOff,
     /// It failed recently, or has already been tried for this request.
-    LeftOut,
+    Excluded,
 }
 
 impl HomeState {
@@ -27,9 +27,9 @@
         if entry.is_held_off(now) {
             Self::HeldOff
         } else if entry.signals.is_backing_off(now) {
-            Self::Resting
+            Self::BackingOff
         } else if !is_usable {
-            Self::LeftOut
+            Self::Excluded
         } else if entry.is_cold(now) {
             Self::Cold
         } else if entry.fullness(now) >= 1.0 {
@@ -47,8 +47,8 @@
             Self::Full => "full",
             Self::Cold => "cold",
             Self::HeldOff => "held_off",
-            Self::Resting => "resting",
-            Self::LeftOut => "left_out",
+            Self::BackingOff => "resting",
+            Self::Excluded => "left_out",
         })
     }
 }
--- a/crates/routing/src/placement/coordinators.rs
+++ b/crates/routing/src/placement/coordinators.rs
@@ -1,8 +1,8 @@
 //! Selects the coordinator of each upstream, and answers queries on that box.
 
-use super::advice::{Advice, Ending, Question};
+use super::advice::{Advice, AdviceQuery, CompletionReport};
 use super::service_upstreams::{ServiceUpstreams, is_usable};
-use super::{Placement, UpstreamOutcome, Wanted};
+use super::{Placement, UpstreamOutcome, UpstreamRequest};
 use crate::rendezvous::{object_hash, weighted_score};
 use crate::workspace::{Rank, RegionLimits};
 use brasswinch_types::{BoxId, Millis};
@@ -79,13 +79,13 @@
 
 impl Placement {
     /// Sets the serving boxes of the own region, including this one if it serves.
-    pub fn set_keepers(&mut self, boxes: Vec<BoxId>) {
+    pub fn set_coordinators(&mut self, boxes: Vec<BoxId>) {
         let is_same = self.coordinators.boxes.iter().map(|(id, _)| id).eq(&boxes);
         if is_same {
             return;
         }
         self.coordinators =
-            Coordinators::new(boxes, &self.settings.me, self.settings.least_keepers);
+            Coordinators::new(boxes, &self.settings.me, self.settings.min_coordinators);
         for service in self.services.values_mut() {
             for entry in &mut service.entries {
                 entry.is_coordinated_here = self.coordinators.is_coordinator(entry.hash);
@@ -95,13 +95,13 @@
 
     /// Returns the query to send before the request, and the coordinator to send it to; `None` if
     /// there is none. `id` identifies the query.
-    pub fn question(
+    pub fn advice_query(
         &mut self,
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         id: u64,
         left_ms: Millis,
         now: Millis,
-    ) -> Option<(BoxId, Question)> {
+    ) -> Option<(BoxId, AdviceQuery)> {
         // Without an object there is no home.
         request.object?;
         self.review_if_due(now);
@@ -112,7 +112,7 @@
         let home = service.home_in(object, &region, request, now)?;
         let home = &service.entries[home];
         let coordinator = self.coordinators.of(home.hash)?.clone();
-        let query = Question {
+        let query = AdviceQuery {
             id,
             service: request.service.clone(),
             region,
@@ -125,22 +125,22 @@
 
     /// Answers a query of another box or this one and counts its request; `None` if no upstream
     /// can be advised.
-    pub fn advise(&mut self, query: &Question, now: Millis) -> Option<Advice> {
+    pub fn advise(&mut self, query: &AdviceQuery, now: Millis) -> Option<Advice> {
         let service = self.services.get_mut(&query.service)?;
         service.advise(query, now)
     }
 
     /// Handles the completion report of a request that this box was, or may have been, queried
     /// about.
-    pub fn ended_elsewhere(&mut self, completion: &Ending, now: Millis) {
+    pub fn record_completion(&mut self, completion: &CompletionReport, now: Millis) {
         if let Some(service) = self.services.get_mut(&completion.service) {
-            service.ended_elsewhere(completion, now);
+            service.record_completion(completion, now);
         }
     }
 }
 
 impl ServiceUpstreams {
-    fn advise(&mut self, query: &Question, now: Millis) -> Option<Advice> {
+    fn advise(&mut self, query: &AdviceQuery, now: Millis) -> Option<Advice> {
         let index = self.advised_for(query, now)?;
         let entry = &mut self.entries[index];
         let advice = Advice {
@@ -157,7 +157,7 @@
 
     /// Returns the upstream already chosen for the object, unless it is too full; otherwise the
     /// one with the lowest cost. A full upstream keeps the object if that one has no free slot.
-    fn advised_for(&mut self, query: &Question, now: Millis) -> Option<usize> {
+    fn advised_for(&mut self, query: &AdviceQuery, now: Millis) -> Option<usize> {
         let candidates = self.candidates(query, now);
         for index in &candidates {
             self.entries[*index].shared.remove_expired(now);
@@ -183,7 +183,7 @@
     }
 
     /// Returns the cost of sending an object to an upstream that wasn't chosen for it before.
-    fn cost(&self, index: usize, query: &Question, now: Millis) -> f64 {
+    fn cost(&self, index: usize, query: &AdviceQuery, now: Millis) -> f64 {
         let entry = &self.entries[index];
         let slots = f64::from(entry.record.slots.max(1));
         let objects = entry.shared.objects() as f64 / slots;
@@ -194,9 +194,9 @@
 
     /// Returns the upstreams that this box may advise: the home, and those that it coordinates in
     /// the region.
-    fn candidates(&self, query: &Question, now: Millis) -> Vec<usize> {
+    fn candidates(&self, query: &AdviceQuery, now: Millis) -> Vec<usize> {
         let any_region = BTreeSet::new();
-        let request = Wanted {
+        let request = UpstreamRequest {
             service: &query.service,
             object: None,
             rank: Rank::default(),
@@ -217,7 +217,7 @@
             .collect()
     }
 
-    fn ended_elsewhere(&mut self, completion: &Ending, now: Millis) {
+    fn record_completion(&mut self, completion: &CompletionReport, now: Millis) {
         for entry in self.entries.iter_mut().filter(|entry| entry.is_counted()) {
             let is_sent_there = Some(&entry.record.id) == completion.upstream.as_ref()
                 && entry.record.started == completion.started;
--- a/crates/routing/src/placement/entry.rs
+++ b/crates/routing/src/placement/entry.rs
@@ -4,7 +4,7 @@
 use super::shared_load::SharedLoad;
 use super::signals::Signals;
 use crate::cold_pacing::ColdPacing;
-use crate::upstream::{UpstreamLife, UpstreamRecord, UpstreamState};
+use crate::upstream::{UpstreamIncarnation, UpstreamRecord, UpstreamState};
 use crate::upstream_load::UpstreamLoad;
 use brasswinch_types::{Millis, Region};
 use std::collections::VecDeque;
@@ -120,8 +120,8 @@
     }
 
     /// Whether it is this incarnation of the upstream.
-    pub(super) fn is_of(&self, life: &UpstreamLife) -> bool {
-        self.record.id == life.upstream && self.record.started == life.started
+    pub(super) fn is_of(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.record.id == incarnation.upstream && self.record.started == incarnation.started
     }
 
     pub(super) fn is_cold(&self, now: Millis) -> bool {
--- a/crates/routing/src/placement/homes.rs
+++ b/crates/routing/src/placement/homes.rs
@@ -1,6 +1,6 @@
 //! The homes of an object and their state.
 
-use super::Wanted;
+use super::UpstreamRequest;
 use super::advice::Advice;
 use super::service_upstreams::{ServiceUpstreams, is_usable, rendezvous_score};
 use crate::rendezvous::object_hash;
@@ -17,7 +17,7 @@
     pub(super) has_served: bool,
 }
 
-impl Wanted<'_> {
+impl UpstreamRequest<'_> {
     /// Returns the hash of the object; a random one from `random` (0 to 1) if the request names
     /// none.
     pub(super) fn object_hash(&self, random: f64) -> u64 {
@@ -35,7 +35,7 @@
         &self,
         object: u64,
         regions: &[Region],
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         advice: Option<&Advice>,
         now: Millis,
     ) -> Vec<HomeSnapshot> {
@@ -66,7 +66,7 @@
         &self,
         object: u64,
         region: &Region,
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         now: Millis,
     ) -> Option<usize> {
         let score = |index: &usize| rendezvous_score(object, &self.entries[*index]);
@@ -83,7 +83,7 @@
         &self,
         advice: &Advice,
         regions: &[Region],
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         now: Millis,
     ) -> Option<HomeSnapshot> {
         let mut entries = self.entries.iter();
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -26,13 +26,13 @@
 mod warming;
 
 use crate::demand::AveragedDemand;
-use crate::region_plan::RegionRoom;
+use crate::region_plan::RegionCapacity;
 use crate::rendezvous::object_hash;
-use crate::upstream::{UpstreamLife, UpstreamRecord, UpstreamStart};
+use crate::upstream::{UpstreamIncarnation, UpstreamRecord, UpstreamStart};
 use crate::upstream_load::LoadReport;
 use crate::workspace::{Rank, RegionLimits};
 use crate::{FleetState, SteeringConfig};
-pub use advice::{Advice, Ending, Question};
+pub use advice::{Advice, AdviceQuery, CompletionReport};
 pub use basis::{AdvisedHome, Basis, Home, HomeState};
 use brasswinch_types::{BoxId, Millis, Region, Service, UpstreamId, Zone};
 use coordinators::Coordinators;
@@ -41,7 +41,7 @@
 use serde::{Deserialize, Serialize};
 use service_upstreams::ServiceUpstreams;
 use signals::SignalStore;
-pub use status::{KeptUpstream, ServiceStatus};
+pub use status::{RetainedUpstream, ServiceStatus};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
 use warming::Warming;
@@ -63,20 +63,20 @@
     pub zones: BTreeMap<Zone, Region>,
     /// Largest fraction of a region's requests that may change region of execution within a
     /// window.
-    pub most_shift: f64,
+    pub max_shift: f64,
     /// How long upstreams whose entries were lost together stay in use, in milliseconds, counted
     /// from when the entries were last known to exist. It leaves time to write them again.
-    pub keep_vanished_ms: Millis,
+    pub retain_lost_ms: Millis,
     /// How long upstreams are treated as cold after the evacuation of their zone ends, in
     /// milliseconds, unless their entries ask for longer.
     pub after_evacuation_ms: Millis,
     /// Smallest number of boxes in a region for which upstream load is coordinated among them.
-    pub least_keepers: usize,
+    pub min_coordinators: usize,
 }
 
 /// A request for an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
+pub struct UpstreamRequest<'a> {
     /// The service.
     pub service: &'a Service,
     /// The object of the request, if it names one.
@@ -111,8 +111,8 @@
 
 impl Choice {
     /// Returns the incarnation of the chosen upstream.
-    pub fn life(&self) -> UpstreamLife {
-        UpstreamLife {
+    pub fn incarnation(&self) -> UpstreamIncarnation {
+        UpstreamIncarnation {
             upstream: self.upstream.clone(),
             started: self.started,
         }
@@ -121,9 +121,9 @@
 
 /// The result of an update of the upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Updated {
+pub struct PlacementUpdate {
     /// Upstreams whose entries were lost since the last update and that stay in use for now.
-    pub kept: Vec<UpstreamId>,
+    pub retained: Vec<UpstreamId>,
     /// Upstreams that restarted under the same name.
     pub restarted: Vec<UpstreamId>,
 }
@@ -213,7 +213,12 @@
 
     /// Applies the known upstreams and the configuration, and returns the changes that operators
     /// and connections need to know.
-    pub fn update(&mut self, fleet: &FleetState, config: &SteeringConfig, now: Millis) -> Updated {
+    pub fn update(
+        &mut self,
+        fleet: &FleetState,
+        config: &SteeringConfig,
+        now: Millis,
+    ) -> PlacementUpdate {
         let mut previous: HashMap<UpstreamId, Entry> = HashMap::new();
         for service in self.services.values_mut() {
             let entries = std::mem::take(&mut service.entries);
@@ -242,7 +247,7 @@
                 entry.accepts_requests(now) && !addresses.contains(&entry.record.address)
             })
             .collect();
-        let kept = self.retain_lost_entries(lost, fleet, now);
+        let retained = self.retain_lost_entries(lost, fleet, now);
         for (name, service) in &mut self.services {
             let configured = config.services.get(name);
             service.cold_per_s = configured.map_or(0.0, |service| service.cold_per_s);
@@ -253,7 +258,10 @@
         self.services
             .retain(|_, service| !service.entries.is_empty());
         self.review(now);
-        Updated { kept, restarted }
+        PlacementUpdate {
+            retained,
+            restarted,
+        }
     }
 
     /// Retains upstreams whose entries were lost together for as long as it takes to write them
@@ -268,7 +276,7 @@
         let remaining = self.services.iter();
         let remaining = remaining.map(|(name, service)| (name.clone(), service.entries.len()));
         let lost_entries = LostEntries::new(lost, remaining.collect());
-        for mut entry in lost_entries.retained(self.settings.keep_vanished_ms, fleet, now) {
+        for mut entry in lost_entries.retained(self.settings.retain_lost_ms, fleet, now) {
             entry.is_evacuated = fleet.is_evacuated(&entry.record.zone);
             if entry.lost_ms(now) == Some(0) {
                 newly_retained.push(entry.record.id.clone());
@@ -305,7 +313,7 @@
             .map_or(0, |ended_at| ended_at + self.settings.after_evacuation_ms);
         let signals = match &previous {
             Some(previous) => previous.signals,
-            None => self.signals.of(&record.life()),
+            None => self.signals.of(&record.incarnation()),
         };
         let cold_until = (learned_at + cold_ms + margin)
             .max(after_evacuation)
@@ -372,15 +380,15 @@
                 entry.senders = senders;
             }
             service.review_disturbance(now);
-            let capacities: Vec<RegionRoom> = regions
+            let capacities: Vec<RegionCapacity> = regions
                 .iter()
-                .map(|region| RegionRoom {
+                .map(|region| RegionCapacity {
                     region: (*region).clone(),
                     slots: service.slots_in(region, now),
                     demand: demand.get(region).copied().unwrap_or(0.0),
                 })
                 .collect();
-            let (origin, limit) = (&self.settings.region, self.settings.most_shift);
+            let (origin, limit) = (&self.settings.region, self.settings.max_shift);
             service.plan.advance(origin, &capacities, limit, now);
         }
     }
@@ -388,7 +396,7 @@
     /// Chooses an upstream and counts the request there. `random` is drawn from 0 to 1.
     pub fn choose(
         &mut self,
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         random: f64,
         now: Millis,
     ) -> Result<Choice, Refusal> {
@@ -399,7 +407,7 @@
     /// home.
     pub fn choose_advised(
         &mut self,
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         advice: Option<&Advice>,
         random: f64,
         now: Millis,
@@ -468,19 +476,19 @@
     }
 
     /// Whether this incarnation of the upstream is known.
-    pub fn holds(&self, life: &UpstreamLife) -> bool {
-        self.entry_of(life).is_some()
+    pub fn contains(&self, incarnation: &UpstreamIncarnation) -> bool {
+        self.entry_of(incarnation).is_some()
     }
 
-    fn entry_of(&self, life: &UpstreamLife) -> Option<&Entry> {
+    fn entry_of(&self, incarnation: &UpstreamIncarnation) -> Option<&Entry> {
         let mut entries = self.services.values().flat_map(|service| &service.entries);
-        entries.find(|entry| entry.is_of(life))
+        entries.find(|entry| entry.is_of(incarnation))
     }
 
-    fn entry_mut_of(&mut self, life: &UpstreamLife) -> Option<&mut Entry> {
+    fn entry_mut_of(&mut self, incarnation: &UpstreamIncarnation) -> Option<&mut Entry> {
         let services = self.services.values_mut();
         let mut entries = services.flat_map(|service| &mut service.entries);
-        entries.find(|entry| entry.is_of(life))
+        entries.find(|entry| entry.is_of(incarnation))
     }
 
     fn entry_mut_for(&mut self, choice: &Choice) -> Option<&mut Entry> {
--- a/crates/routing/src/placement/service_upstreams.rs
+++ b/crates/routing/src/placement/service_upstreams.rs
@@ -6,7 +6,7 @@
 use super::homes::HomeSnapshot;
 use super::spill::SpillWindow;
 use super::warming::Warming;
-use super::{Choice, Refusal, Wanted};
+use super::{Choice, Refusal, UpstreamRequest};
 use crate::refusals::with_added_jitter;
 use crate::region_plan::RegionPlan;
 use crate::rendezvous::{object_hash, weighted_score};
@@ -67,7 +67,7 @@
 impl ServiceUpstreams {
     pub(super) fn choose(
         &mut self,
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         advice: Option<&Advice>,
         warming: &Warming<'_>,
         now: Millis,
@@ -106,7 +106,7 @@
 
     /// Returns the time until a retry is useful, in milliseconds: the minimum if only queues are
     /// full; if limits and backoffs block all upstreams, no earlier than the first of them ends.
-    fn available_in_ms(&self, request: &Wanted<'_>, now: Millis) -> Millis {
+    fn available_in_ms(&self, request: &UpstreamRequest<'_>, now: Millis) -> Millis {
         let entries = self.entries.iter();
         let accepting =
             entries.filter(|entry| entry.accepts_requests(now) && is_allowed(entry, request));
@@ -133,7 +133,13 @@
     }
 
     /// Returns the state of the object's home in the first region, whether or not it is usable.
-    fn basis(&self, object: u64, regions: &[Region], request: &Wanted<'_>, now: Millis) -> Basis {
+    fn basis(
+        &self,
+        object: u64,
+        regions: &[Region],
+        request: &UpstreamRequest<'_>,
+        now: Millis,
+    ) -> Basis {
         let region = regions.first();
         let score = |entry: &&Entry| rendezvous_score(object, entry);
         let home = self
@@ -155,7 +161,7 @@
         }
     }
 
-    fn has_candidates(&self, request: &Wanted<'_>, now: Millis) -> bool {
+    fn has_candidates(&self, request: &UpstreamRequest<'_>, now: Millis) -> bool {
         self.entries
             .iter()
             .any(|entry| entry.accepts_requests(now) && is_allowed(entry, request))
@@ -166,7 +172,7 @@
     pub(super) fn ranked_regions(
         &self,
         object: u64,
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         now: Millis,
     ) -> Vec<Region> {
         let mut ranked: Vec<(f64, f64, &Region)> = Vec::new();
@@ -176,7 +182,7 @@
                 continue;
             }
             let region_hash = object_hash("region", entry.region.as_str().as_bytes());
-            let share = self.plan.part(&entry.region);
+            let share = self.plan.share(&entry.region);
             let tie = weighted_score(object, region_hash, 1.0);
             ranked.push((
                 weighted_score(object, region_hash, share),
@@ -192,7 +198,12 @@
     }
 
     /// Returns the first home if a slot is free or the wait is short.
-    fn at_home(&self, homes: &[HomeSnapshot], request: &Wanted<'_>, now: Millis) -> Option<usize> {
+    fn at_home(
+        &self,
+        homes: &[HomeSnapshot],
+        request: &UpstreamRequest<'_>,
+        now: Millis,
+    ) -> Option<usize> {
         let home = homes.first()?;
         let limit = if home.has_served {
             (MAX_QUEUE_BEFORE_LEAVING * self.queue_fraction(request, now)).max(1.0)
@@ -218,7 +229,7 @@
     fn in_queue(
         &mut self,
         homes: &[HomeSnapshot],
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         now: Millis,
     ) -> Option<usize> {
         let fraction = self.queue_fraction(request, now);
@@ -244,7 +255,7 @@
 
     /// Returns the fraction of each queue limit that the request may use. Free slots are open to
     /// all.
-    fn queue_fraction(&self, request: &Wanted<'_>, now: Millis) -> f64 {
+    fn queue_fraction(&self, request: &UpstreamRequest<'_>, now: Millis) -> f64 {
         if request.rank > self.most_urgent && now < self.urgent_reserved_until {
             LESS_URGENT_QUEUE_FRACTION
         } else {
@@ -279,11 +290,11 @@
     weighted_score(object, entry.hash, f64::from(entry.record.slots.max(1)))
 }
 
-fn is_allowed(entry: &Entry, request: &Wanted<'_>) -> bool {
+fn is_allowed(entry: &Entry, request: &UpstreamRequest<'_>) -> bool {
     request.regions.allow(&entry.region)
 }
 
-pub(super) fn is_usable(entry: &Entry, request: &Wanted<'_>, now: Millis) -> bool {
+pub(super) fn is_usable(entry: &Entry, request: &UpstreamRequest<'_>, now: Millis) -> bool {
     entry.accepts_requests(now)
         && is_allowed(entry, request)
         && entry.is_usable(now)
--- a/crates/routing/src/placement/signals.rs
+++ b/crates/routing/src/placement/signals.rs
@@ -2,7 +2,7 @@
 //! of an upstream, also if its entry is lost and comes back.
 
 use super::{COLD_MARGIN_MS, Choice, Placement};
-use crate::upstream::UpstreamLife;
+use crate::upstream::UpstreamIncarnation;
 use brasswinch_types::{Millis, UpstreamRest};
 use std::collections::{HashMap, VecDeque};
 
@@ -52,23 +52,23 @@
 /// The signals of all upstreams that sent any.
 #[derive(Debug, Default)]
 pub(super) struct SignalStore {
-    stored: HashMap<UpstreamLife, Signals>,
+    stored: HashMap<UpstreamIncarnation, Signals>,
     /// Stored incarnations, oldest first.
-    order: VecDeque<UpstreamLife>,
+    order: VecDeque<UpstreamIncarnation>,
 }
 
 impl SignalStore {
     /// Returns the signals of an incarnation of an upstream.
-    pub(super) fn of(&self, life: &UpstreamLife) -> Signals {
-        self.stored.get(life).copied().unwrap_or_default()
+    pub(super) fn of(&self, incarnation: &UpstreamIncarnation) -> Signals {
+        self.stored.get(incarnation).copied().unwrap_or_default()
     }
 
     /// Stores the signals of an incarnation.
-    pub(super) fn store(&mut self, life: UpstreamLife, signals: Signals) {
-        if self.stored.insert(life.clone(), signals).is_some() {
+    pub(super) fn store(&mut self, incarnation: UpstreamIncarnation, signals: Signals) {
+        if self.stored.insert(incarnation.clone(), signals).is_some() {
             return;
         }
-        self.order.push_back(life);
+        self.order.push_back(incarnation);
         if self.order.len() > MAX_STORED
             && let Some(oldest) = self.order.pop_front()
         {
@@ -79,14 +79,14 @@
 
 impl Placement {
     /// Records a signal that the upstream is leaving; returns whether that is new.
-    pub fn leaves(&mut self, choice: &Choice) -> bool {
+    pub fn record_leaving(&mut self, choice: &Choice) -> bool {
         let before = self.update_signals(choice, |signals| signals.is_leaving = true);
         !before.is_leaving
     }
 
     /// Records a refusal with a requested backoff; returns whether the upstream wasn't already
     /// backing off.
-    pub fn rests(&mut self, choice: &Choice, rest: UpstreamRest, now: Millis) -> bool {
+    pub fn record_backoff(&mut self, choice: &Choice, rest: UpstreamRest, now: Millis) -> bool {
         if rest.ms() == 0 {
             return false;
         }
@@ -98,45 +98,50 @@
     }
 
     /// Records a signal in an answer that can't be parsed; returns whether it is the first one.
-    pub fn says_unreadable(&mut self, choice: &Choice) -> bool {
-        self.health_is_unreadable(&choice.life())
+    pub fn record_unreadable_signal(&mut self, choice: &Choice) -> bool {
+        self.record_unreadable_health(&choice.incarnation())
     }
 
     /// Records a signal in a health answer that can't be parsed; returns whether it is the first
     /// one.
-    pub fn health_is_unreadable(&mut self, life: &UpstreamLife) -> bool {
-        let before = self.update_signals_of(life, |signals| signals.is_unreadable = true);
+    pub fn record_unreadable_health(&mut self, incarnation: &UpstreamIncarnation) -> bool {
+        let before = self.update_signals_of(incarnation, |signals| signals.is_unreadable = true);
         !before.is_unreadable
     }
 
     /// Records that the upstream stays cold for `for_ms`, capped at the cold period of its
     /// service; returns whether it wasn't known to be cold.
-    pub fn turned_cold(&mut self, life: &UpstreamLife, for_ms: Millis, now: Millis) -> bool {
-        let Some(longest_ms) = self.cold_period_ms(life) else {
+    pub fn record_cold(
+        &mut self,
+        incarnation: &UpstreamIncarnation,
+        for_ms: Millis,
+        now: Millis,
+    ) -> bool {
+        let Some(longest_ms) = self.cold_period_ms(incarnation) else {
             return false;
         };
-        let was_cold = self.is_cold(life, now);
+        let was_cold = self.is_cold(incarnation, now);
         let until = now + for_ms.min(longest_ms) + COLD_MARGIN_MS;
         let cold = ColdSignal {
             received_at: now,
             until,
         };
-        self.update_signals_of(life, |signals| signals.cold = Some(cold));
-        if let Some(entry) = self.entry_mut_of(life) {
+        self.update_signals_of(incarnation, |signals| signals.cold = Some(cold));
+        if let Some(entry) = self.entry_mut_of(incarnation) {
             entry.cold_until = entry.cold_until.max(until);
         }
         !was_cold
     }
 
     /// Whether this incarnation of the upstream is known to be cold.
-    pub fn is_cold(&self, life: &UpstreamLife, now: Millis) -> bool {
-        let entry = self.entry_of(life);
+    pub fn is_cold(&self, incarnation: &UpstreamIncarnation, now: Millis) -> bool {
+        let entry = self.entry_of(incarnation);
         entry.is_some_and(|entry| entry.is_cold(now))
     }
 
     /// Returns the longest cold period of the upstream's service, in milliseconds.
-    fn cold_period_ms(&self, life: &UpstreamLife) -> Option<Millis> {
-        let service = &self.entry_of(life)?.record.service;
+    fn cold_period_ms(&self, incarnation: &UpstreamIncarnation) -> Option<Millis> {
+        let service = &self.entry_of(incarnation)?.record.service;
         Some(self.services.get(service)?.cold_period_ms)
     }
 
@@ -147,21 +152,21 @@
 
     /// Updates the signals of the chosen upstream; returns the previous ones.
     fn update_signals(&mut self, choice: &Choice, change: impl FnOnce(&mut Signals)) -> Signals {
-        self.update_signals_of(&choice.life(), change)
+        self.update_signals_of(&choice.incarnation(), change)
     }
 
     /// Updates the signals of an upstream; returns the previous ones.
     fn update_signals_of(
         &mut self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         change: impl FnOnce(&mut Signals),
     ) -> Signals {
-        let before = self.signals.of(life);
+        let before = self.signals.of(incarnation);
         let mut signals = before;
         change(&mut signals);
         if signals != before {
-            self.signals.store(life.clone(), signals);
-            if let Some(entry) = self.entry_mut_of(life) {
+            self.signals.store(incarnation.clone(), signals);
+            if let Some(entry) = self.entry_mut_of(incarnation) {
                 entry.signals = signals;
             }
         }
--- a/crates/routing/src/placement/status.rs
+++ b/crates/routing/src/placement/status.rs
@@ -19,10 +19,10 @@
     pub held_off: usize,
     /// Upstreams that asked this box to back off.
     #[serde(rename = "resting")]
-    pub resting: usize,
+    pub backing_off: usize,
     /// Upstreams that failed recently and are probed now and then.
     #[serde(rename = "left_out")]
-    pub left_out: usize,
+    pub excluded: usize,
     /// Upstreams that announced that they are leaving.
     pub leaving: usize,
     /// Upstreams in an evacuated zone.
@@ -31,19 +31,19 @@
     pub replaced: usize,
     /// Upstreams that stay in use although their entries were lost together with many others.
     #[serde(rename = "kept")]
-    pub kept: Vec<KeptUpstream>,
+    pub retained: Vec<RetainedUpstream>,
 }
 
 /// An upstream that is retained without an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct KeptUpstream {
+pub struct RetainedUpstream {
     /// The upstream.
     pub upstream: UpstreamId,
     /// How long ago this box learned that the entry was lost, in milliseconds.
     pub lost_ms: Millis,
     /// How much longer it stays in use, in milliseconds.
     #[serde(rename = "kept_for_ms")]
-    pub kept_for_ms: Millis,
+    pub retained_for_ms: Millis,
 }
 
 impl ServiceStatus {
@@ -53,18 +53,18 @@
             usable: 0,
             cold: 0,
             held_off: 0,
-            resting: 0,
-            left_out: 0,
+            backing_off: 0,
+            excluded: 0,
             leaving: 0,
             evacuated: 0,
             replaced: 0,
-            kept: Vec::new(),
+            retained: Vec::new(),
         }
     }
 
     fn count(&mut self, entry: &Entry, now: Millis) {
-        if let Some(kept) = kept(entry, now) {
-            return self.kept.push(kept);
+        if let Some(retained) = retained(entry, now) {
+            return self.retained.push(retained);
         }
         let count = if entry.is_leaving() {
             &mut self.leaving
@@ -73,9 +73,9 @@
         } else if entry.is_replaced {
             &mut self.replaced
         } else if entry.signals.is_backing_off(now) {
-            &mut self.resting
+            &mut self.backing_off
         } else if !entry.is_usable(now) {
-            &mut self.left_out
+            &mut self.excluded
         } else if entry.is_held_off(now) {
             &mut self.held_off
         } else if entry.is_cold(now) {
@@ -87,12 +87,12 @@
     }
 }
 
-fn kept(entry: &Entry, now: Millis) -> Option<KeptUpstream> {
+fn retained(entry: &Entry, now: Millis) -> Option<RetainedUpstream> {
     let lost = entry.lost?;
-    Some(KeptUpstream {
+    Some(RetainedUpstream {
         upstream: entry.record.id.clone(),
         lost_ms: now.saturating_sub(lost.detected_at),
-        kept_for_ms: lost.retained_until.saturating_sub(now),
+        retained_for_ms: lost.retained_until.saturating_sub(now),
     })
 }
 
--- a/crates/routing/src/placement/warming.rs
+++ b/crates/routing/src/placement/warming.rs
@@ -1,7 +1,7 @@
 //! Requests for upstreams that would otherwise get none: cold ones, which all boxes pace together,
 //! and new ones that have never been used.
 
-use super::Wanted;
+use super::UpstreamRequest;
 use super::service_upstreams::{ServiceUpstreams, is_usable};
 use crate::cold_pacing::ColdPacing;
 use crate::rendezvous::weighted_score;
@@ -46,7 +46,7 @@
     /// is the one to send the first.
     pub(super) fn never_used(
         &self,
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         warming: &Warming<'_>,
         now: Millis,
     ) -> Option<usize> {
@@ -63,12 +63,12 @@
     /// it.
     pub(super) fn cold(
         &mut self,
-        request: &Wanted<'_>,
+        request: &UpstreamRequest<'_>,
         warming: &Warming<'_>,
         now: Millis,
     ) -> Option<usize> {
         let boxes = warming.boxes.len();
-        let fraction = ColdPacing::group_part(boxes, warming.fleet_size);
+        let fraction = ColdPacing::group_fraction(boxes, warming.fleet_size);
         let cold_per_s = self.cold_per_s * fraction;
         self.entries.iter_mut().position(|entry| {
             is_usable(entry, request, now)
--- a/crates/routing/src/quota/local.rs
+++ b/crates/routing/src/quota/local.rs
@@ -2,7 +2,7 @@
 
 use super::loan::{Lending, QuotaLoan};
 use super::{Admission, QuotaWord, ToKeeper};
-use crate::refusals::spread;
+use crate::refusals::with_jitter;
 use crate::token_bucket::{Filling, TokenBucket};
 use brasswinch_types::Millis;
 use std::collections::VecDeque;
@@ -88,12 +88,12 @@
         self.refused_locally = self.refused_locally.saturating_add(1);
         self.refused_count += 1;
         let refuse_for_ms = self.refuse_until - now;
-        Some(spread(self.retry_after_ms.max(refuse_for_ms), random))
+        Some(with_jitter(self.retry_after_ms.max(refuse_for_ms), random))
     }
 
     /// Starts a period in which requests are refused without asking.
     pub(super) fn start_local_refusal(&mut self, random: f64, now: Millis) {
-        self.refuse_until = now + spread(LOCAL_REFUSAL_MS, random);
+        self.refuse_until = now + with_jitter(LOCAL_REFUSAL_MS, random);
     }
 
     pub(super) fn take_refused_locally(&mut self) -> u32 {
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -33,7 +33,7 @@
 mod status;
 
 use crate::fleet_size::KnownSize;
-use crate::refusals::spread;
+use crate::refusals::with_jitter;
 use crate::rendezvous::{object_hash, weighted_score};
 use crate::workspace::QuotaLimit;
 use brasswinch_types::{BoxId, Millis, Workspace};
@@ -328,7 +328,7 @@
         }
         local.count_refused();
         Admission::Refuse {
-            retry_after_ms: spread(reply.retry_after_ms, random),
+            retry_after_ms: with_jitter(reply.retry_after_ms, random),
         }
     }
 
@@ -353,7 +353,7 @@
         local.start_local_refusal(random, now);
         local.count_refused();
         Admission::Refuse {
-            retry_after_ms: spread(reply.retry_after_ms, random),
+            retry_after_ms: with_jitter(reply.retry_after_ms, random),
         }
     }
 
--- a/crates/routing/src/refusals.rs
+++ b/crates/routing/src/refusals.rs
@@ -45,7 +45,7 @@
 
 /// Returns `ms` scaled by a random factor from 0.5 to 1.5, so that requests refused together don't
 /// retry together. `random` is drawn from 0 to 1.
-pub(crate) fn spread(ms: Millis, random: f64) -> Millis {
+pub(crate) fn with_jitter(ms: Millis, random: f64) -> Millis {
     (ms as f64 * (0.5 + random.clamp(0.0, 1.0))) as Millis
 }
 
--- a/crates/routing/src/region_plan.rs
+++ b/crates/routing/src/region_plan.rs
@@ -20,7 +20,7 @@
 
 /// Capacity and demand of one region for a service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct RegionRoom {
+pub struct RegionCapacity {
     /// The region.
     pub region: Region,
     /// Slots of its usable upstreams.
@@ -38,17 +38,17 @@
 
 impl RegionPlan {
     /// Returns the share of `region`, from 0 to 1.
-    pub fn part(&self, region: &Region) -> f64 {
+    pub fn share(&self, region: &Region) -> f64 {
         self.shares.get(region).copied().unwrap_or(0.0)
     }
 
-    /// Moves the shares toward the balance for `capacities`, no faster than `most_shift` allows. A
+    /// Moves the shares toward the balance for `capacities`, no faster than `max_shift` allows. A
     /// region without capacity gets nothing from now on.
     pub fn advance(
         &mut self,
         origin: &Region,
-        capacities: &[RegionRoom],
-        most_shift: f64,
+        capacities: &[RegionCapacity],
+        max_shift: f64,
         now: Millis,
     ) {
         let target_shares = target_shares(origin, capacities);
@@ -62,10 +62,10 @@
             return;
         }
         let elapsed = now.saturating_sub(moved_at) as f64;
-        let step = most_shift * USED_LIMIT_FRACTION * elapsed / SHIFT_WINDOW_MS;
+        let step = max_shift * USED_LIMIT_FRACTION * elapsed / SHIFT_WINDOW_MS;
         let distance: f64 = target_shares
             .iter()
-            .map(|(region, part)| (part - self.part(region)).max(0.0))
+            .map(|(region, share)| (share - self.share(region)).max(0.0))
             .sum();
         let fraction = if distance > step {
             step / distance
@@ -80,13 +80,13 @@
             .collect();
         for region in regions {
             let target = target_shares.get(&region).copied().unwrap_or(0.0);
-            let part = self.shares.entry(region).or_insert(0.0);
-            *part += (target - *part) * fraction;
+            let share = self.shares.entry(region).or_insert(0.0);
+            *share += (target - *share) * fraction;
         }
     }
 
     /// Removes regions without capacity and distributes their shares over the others.
-    fn remove_without_capacity(&mut self, capacities: &[RegionRoom]) {
+    fn remove_without_capacity(&mut self, capacities: &[RegionCapacity]) {
         let has_capacity = |region: &Region| {
             capacities
                 .iter()
@@ -98,19 +98,19 @@
             self.shares.clear();
             return;
         }
-        for part in self.shares.values_mut() {
-            *part /= total;
+        for share in self.shares.values_mut() {
+            *share /= total;
         }
     }
 }
 
 /// Returns the shares that balance load, with a preference for the origin. While no demand is
 /// known, all regions are assumed to have equal demand.
-fn target_shares(origin: &Region, capacities: &[RegionRoom]) -> BTreeMap<Region, f64> {
+fn target_shares(origin: &Region, capacities: &[RegionCapacity]) -> BTreeMap<Region, f64> {
     if capacities.iter().all(|capacity| capacity.demand <= 0.0) {
-        let equal_demand: Vec<RegionRoom> = capacities
+        let equal_demand: Vec<RegionCapacity> = capacities
             .iter()
-            .map(|capacity| RegionRoom {
+            .map(|capacity| RegionCapacity {
                 demand: 1.0,
                 ..capacity.clone()
             })
@@ -120,7 +120,7 @@
     balanced_shares(origin, capacities)
 }
 
-fn balanced_shares(origin: &Region, capacities: &[RegionRoom]) -> BTreeMap<Region, f64> {
+fn balanced_shares(origin: &Region, capacities: &[RegionCapacity]) -> BTreeMap<Region, f64> {
     let slots: f64 = capacities.iter().map(|capacity| capacity.slots).sum();
     let demand: f64 = capacities.iter().map(|capacity| capacity.demand).sum();
     if slots <= 0.0 {
@@ -131,12 +131,13 @@
         .find(|capacity| &capacity.region == origin)
         .map_or(0.0, |capacity| capacity.demand);
     if own_demand <= 0.0 {
-        let even = |capacity: &RegionRoom| (capacity.region.clone(), capacity.slots / slots);
+        let even = |capacity: &RegionCapacity| (capacity.region.clone(), capacity.slots / slots);
         return capacities.iter().map(even).collect();
     }
-    let intake = |capacity: &RegionRoom| capacity.slots / slots * demand * LOCAL_PREFERENCE_FACTOR;
-    let kept_demand = |capacity: &RegionRoom| intake(capacity).min(capacity.demand);
-    let spare = |capacity: &RegionRoom| intake(capacity) - kept_demand(capacity);
+    let intake =
+        |capacity: &RegionCapacity| capacity.slots / slots * demand * LOCAL_PREFERENCE_FACTOR;
+    let kept_demand = |capacity: &RegionCapacity| intake(capacity).min(capacity.demand);
+    let spare = |capacity: &RegionCapacity| intake(capacity) - kept_demand(capacity);
     let total_spare: f64 = capacities
         .iter()
         .filter(|capacity| &capacity.region != origin)
@@ -147,7 +148,7 @@
         .find(|capacity| &capacity.region == origin)
         .map_or(0.0, kept_demand);
     let sent_away = (own_demand - own_kept_demand) / own_demand;
-    let part = |capacity: &RegionRoom| {
+    let share = |capacity: &RegionCapacity| {
         if &capacity.region == origin {
             1.0 - sent_away
         } else if total_spare > 0.0 {
@@ -158,6 +159,6 @@
     };
     capacities
         .iter()
-        .map(|capacity| (capacity.region.clone(), part(capacity)))
+        .map(|capacity| (capacity.region.clone(), share(capacity)))
         .collect()
 }
--- a/crates/routing/src/upstream.rs
+++ b/crates/routing/src/upstream.rs
@@ -42,8 +42,8 @@
 
 impl UpstreamRecord {
     /// Returns the incarnation that wrote the entry.
-    pub fn life(&self) -> UpstreamLife {
-        UpstreamLife {
+    pub fn incarnation(&self) -> UpstreamIncarnation {
+        UpstreamIncarnation {
             upstream: self.id.clone(),
             started: self.started,
         }
@@ -52,7 +52,7 @@
 
 /// One incarnation of an upstream. State of one incarnation doesn't apply to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct UpstreamLife {
+pub struct UpstreamIncarnation {
     /// The upstream.
     #[serde(rename = "u")]
     pub upstream: UpstreamId,
--- a/crates/routing/src/upstream_limits/coordinator.rs
+++ b/crates/routing/src/upstream_limits/coordinator.rs
@@ -3,7 +3,7 @@
 use super::{LimitNews, LimitQuestion, LimitWord, MAX_LIMITS, UpstreamLimit};
 use crate::refusals::Refusals;
 use crate::token_bucket::{Filling, TokenBucket};
-use crate::upstream::UpstreamLife;
+use crate::upstream::UpstreamIncarnation;
 use brasswinch_types::Millis;
 use std::collections::HashMap;
 
@@ -74,17 +74,17 @@
 /// The limits that this box coordinates or has coordinated.
 #[derive(Debug, Default)]
 pub(super) struct LimitCoordinator {
-    counters: HashMap<UpstreamLife, LimitCounter>,
+    counters: HashMap<UpstreamIncarnation, LimitCounter>,
 }
 
 impl LimitCoordinator {
     /// Records a declared limit or its end. Returns whether it has to be broadcast.
     pub(super) fn record(&mut self, update: &LimitNews, now: Millis) -> bool {
         let Some(limit) = update.limit else {
-            return self.counters.remove(&update.life).is_some();
+            return self.counters.remove(&update.incarnation).is_some();
         };
         let takeover_ms = if update.is_first { 0 } else { TAKEOVER_MS };
-        let Some(counter) = self.get_or_insert(&update.life, limit, takeover_ms, now) else {
+        let Some(counter) = self.get_or_insert(&update.incarnation, limit, takeover_ms, now) else {
             return false;
         };
         counter.limit = limit;
@@ -93,7 +93,7 @@
 
     /// Decides about a query, and counts the request if it is granted.
     pub(super) fn answer(&mut self, query: &LimitQuestion, now: Millis) -> LimitWord {
-        let counter = self.get_or_insert(&query.life, query.limit, TAKEOVER_MS, now);
+        let counter = self.get_or_insert(&query.incarnation, query.limit, TAKEOVER_MS, now);
         let Some(counter) = counter else {
             return LimitWord {
                 id: query.id,
@@ -124,32 +124,36 @@
     }
 
     /// Returns the recent refusals per second; `None` where this box doesn't coordinate the limit.
-    pub(super) fn refused_per_s(&self, life: &UpstreamLife, now: Millis) -> Option<f64> {
-        let refusals = self.counters.get(life)?.refusals;
+    pub(super) fn refused_per_s(
+        &self,
+        incarnation: &UpstreamIncarnation,
+        now: Millis,
+    ) -> Option<f64> {
+        let refusals = self.counters.get(incarnation)?.refusals;
         let is_recent = refusals.is_recent(now);
         Some(if is_recent { refusals.per_s() } else { 0.0 })
     }
 
     /// Removes limits of upstream instances that are gone.
-    pub(super) fn retain(&mut self, is_live: impl Fn(&UpstreamLife) -> bool) {
-        self.counters.retain(|life, _| is_live(life));
+    pub(super) fn retain(&mut self, is_live: impl Fn(&UpstreamIncarnation) -> bool) {
+        self.counters.retain(|incarnation, _| is_live(incarnation));
     }
 
     /// Returns the upstream's count, or starts one with an empty bucket, since the number of
     /// recent requests is unknown. Returns `None` where there are too many limits.
     fn get_or_insert(
         &mut self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         limit: UpstreamLimit,
         takeover_ms: Millis,
         now: Millis,
     ) -> Option<&mut LimitCounter> {
-        if self.counters.len() >= MAX_LIMITS && !self.counters.contains_key(life) {
+        if self.counters.len() >= MAX_LIMITS && !self.counters.contains_key(incarnation) {
             return None;
         }
         let counter = self
             .counters
-            .entry(life.clone())
+            .entry(incarnation.clone())
             .or_insert_with(|| LimitCounter {
                 limit,
                 bucket: TokenBucket::new(0.0, now),
--- a/crates/routing/src/upstream_limits/message.rs
+++ b/crates/routing/src/upstream_limits/message.rs
@@ -1,7 +1,7 @@
 //! Messages between boxes and the coordinators of upstreams' limits.
 
 use super::UpstreamLimit;
-use crate::upstream::UpstreamLife;
+use crate::upstream::UpstreamIncarnation;
 use brasswinch_types::Millis;
 use serde::{Deserialize, Serialize};
 
@@ -13,7 +13,7 @@
     pub id: u64,
     /// The upstream.
     #[serde(flatten)]
-    pub life: UpstreamLife,
+    pub incarnation: UpstreamIncarnation,
     /// The limit as known to the box; a coordinator that knows none uses it.
     #[serde(rename = "l")]
     pub limit: UpstreamLimit,
@@ -42,7 +42,7 @@
 pub struct LimitNews {
     /// The upstream.
     #[serde(flatten)]
-    pub life: UpstreamLife,
+    pub incarnation: UpstreamIncarnation,
     /// The limit; `None` where the upstream no longer declares one.
     #[serde(rename = "l")]
     pub limit: Option<UpstreamLimit>,
--- a/crates/routing/src/upstream_limits/mod.rs
+++ b/crates/routing/src/upstream_limits/mod.rs
@@ -31,9 +31,9 @@
 mod message;
 mod status;
 
-use crate::refusals::spread;
+use crate::refusals::with_jitter;
 use crate::rendezvous::{object_hash, weighted_score};
-use crate::upstream::UpstreamLife;
+use crate::upstream::UpstreamIncarnation;
 use brasswinch_types::{BoxId, Millis, Region, Zone};
 use coordinator::LimitCoordinator;
 pub use limit::UpstreamLimit;
@@ -111,7 +111,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct LimitAnswer<'a> {
     /// The upstream.
-    pub life: &'a UpstreamLife,
+    pub incarnation: &'a UpstreamIncarnation,
     /// The upstream's zone.
     pub zone: &'a Zone,
     /// The limit that the response names, if any.
@@ -131,7 +131,7 @@
     max_known_boxes: usize,
     /// When the number of known boxes last grew.
     grew_at: Millis,
-    known: HashMap<UpstreamLife, UpstreamLimit>,
+    known: HashMap<UpstreamIncarnation, UpstreamLimit>,
     coordinated: LimitCoordinator,
     /// Outgoing messages.
     outgoing: Vec<(SocketAddr, LimitNews)>,
@@ -174,29 +174,29 @@
     }
 
     /// Returns the upstream's limit, as known to this box.
-    pub fn limit(&self, life: &UpstreamLife) -> Option<UpstreamLimit> {
-        self.known.get(life).copied()
+    pub fn limit(&self, incarnation: &UpstreamIncarnation) -> Option<UpstreamLimit> {
+        self.known.get(incarnation).copied()
     }
 
     /// Decides whether a request may be sent to an upstream in `zone`. `id` identifies the query,
     /// and `random` is drawn from 0 to 1.
     pub fn admit(
         &mut self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         zone: &Zone,
         id: u64,
         random: f64,
         now: Millis,
     ) -> LimitAdmission {
-        let Some(limit) = self.limit(life) else {
+        let Some(limit) = self.limit(incarnation) else {
             return LimitAdmission::Unlimited;
         };
         let question = LimitQuestion {
             id,
-            life: life.clone(),
+            incarnation: incarnation.clone(),
             limit,
         };
-        match self.remote_coordinator(life, zone) {
+        match self.remote_coordinator(incarnation, zone) {
             Some(address) => LimitAdmission::Ask(ToLimitKeeper { address, question }),
             None if now < self.grew_at + SETTLE_MS => {
                 LimitAdmission::Refused(Self::unheard(random))
@@ -213,8 +213,8 @@
         match reply {
             Some(reply) if reply.is_granted => LimitAdmission::Granted,
             Some(reply) => LimitAdmission::Refused(LimitRefusal {
-                hold_off_ms: spread(reply.next_grant_in_ms, random),
-                retry_after_ms: spread(reply.retry_after_ms, random),
+                hold_off_ms: with_jitter(reply.next_grant_in_ms, random),
+                retry_after_ms: with_jitter(reply.retry_after_ms, random),
             }),
             None => LimitAdmission::Refused(Self::unheard(random)),
         }
@@ -223,15 +223,15 @@
     /// Returns the refusal that follows when the coordinator doesn't reply.
     pub fn unheard(random: f64) -> LimitRefusal {
         LimitRefusal {
-            hold_off_ms: spread(NO_REPLY_HOLD_OFF_MS, random),
-            retry_after_ms: spread(NO_REPLY_HOLD_OFF_MS, random),
+            hold_off_ms: with_jitter(NO_REPLY_HOLD_OFF_MS, random),
+            retry_after_ms: with_jitter(NO_REPLY_HOLD_OFF_MS, random),
         }
     }
 
     /// Handles a query of another box.
     pub fn hear_question(&mut self, question: &LimitQuestion, now: Millis) -> LimitWord {
-        if self.limit(&question.life).is_none() {
-            self.set_known(&question.life, Some(question.limit));
+        if self.limit(&question.incarnation).is_none() {
+            self.set_known(&question.incarnation, Some(question.limit));
         }
         self.coordinated.answer(question, now)
     }
@@ -239,33 +239,33 @@
     /// Handles a response of an upstream. Returns the change of the known limit, if any.
     pub fn named(&mut self, answer: &LimitAnswer<'_>, now: Millis) -> Option<LimitChange> {
         let may_be_outdated = answer.limit.is_none() && !answer.had_grant;
-        let before = self.limit(answer.life);
+        let before = self.limit(answer.incarnation);
         if may_be_outdated || before == answer.limit {
             return None;
         }
         let update = LimitNews {
-            life: answer.life.clone(),
+            incarnation: answer.incarnation.clone(),
             limit: answer.limit,
             is_first: before.is_none(),
             is_from_coordinator: false,
         };
-        match self.remote_coordinator(answer.life, answer.zone) {
+        match self.remote_coordinator(answer.incarnation, answer.zone) {
             Some(address) => self.outgoing.push((address, update.clone())),
             None => self.coordinate(&update, now),
         }
-        self.set_known(&update.life, update.limit);
+        self.set_known(&update.incarnation, update.limit);
         Some(answer.limit.map_or(LimitChange::Lifted, LimitChange::Named))
     }
 
     /// Handles an update from another box. Returns the change of the known limit, if any.
     pub fn hear_news(&mut self, update: &LimitNews, now: Millis) -> Option<LimitChange> {
-        let before = self.limit(&update.life);
+        let before = self.limit(&update.incarnation);
         if update.is_from_coordinator && update.limit.is_none() {
             self.coordinated.record(update, now);
         } else if !update.is_from_coordinator {
             self.coordinate(update, now);
         }
-        self.set_known(&update.life, update.limit);
+        self.set_known(&update.incarnation, update.limit);
         let is_changed = before != update.limit;
         is_changed.then(|| update.limit.map_or(LimitChange::Lifted, LimitChange::Named))
     }
@@ -277,10 +277,10 @@
 
     /// Returns the status of the limits, ordered by upstream.
     pub fn status(&self, now: Millis) -> Vec<LimitStatus> {
-        let status = |(life, limit): (&UpstreamLife, &UpstreamLimit)| LimitStatus {
-            upstream: life.upstream.clone(),
+        let status = |(incarnation, limit): (&UpstreamIncarnation, &UpstreamLimit)| LimitStatus {
+            upstream: incarnation.upstream.clone(),
             limit: *limit,
-            refused_per_s: self.coordinated.refused_per_s(life, now),
+            refused_per_s: self.coordinated.refused_per_s(incarnation, now),
         };
         let mut all: Vec<LimitStatus> = self.known.iter().map(status).collect();
         all.sort_by(|a, b| a.upstream.cmp(&b.upstream));
@@ -288,8 +288,8 @@
     }
 
     /// Removes limits of upstream instances that are gone.
-    pub fn retain(&mut self, is_live: impl Fn(&UpstreamLife) -> bool) {
-        self.known.retain(|life, _| is_live(life));
+    pub fn retain(&mut self, is_live: impl Fn(&UpstreamIncarnation) -> bool) {
+        self.known.retain(|incarnation, _| is_live(incarnation));
         self.coordinated.retain(is_live);
     }
 
@@ -310,35 +310,39 @@
         self.outgoing.extend(outgoing);
     }
 
-    fn set_known(&mut self, life: &UpstreamLife, limit: Option<UpstreamLimit>) {
+    fn set_known(&mut self, incarnation: &UpstreamIncarnation, limit: Option<UpstreamLimit>) {
         let Some(limit) = limit else {
-            self.known.remove(life);
+            self.known.remove(incarnation);
             return;
         };
-        if self.known.len() < MAX_LIMITS || self.known.contains_key(life) {
-            self.known.insert(life.clone(), limit);
+        if self.known.len() < MAX_LIMITS || self.known.contains_key(incarnation) {
+            self.known.insert(incarnation.clone(), limit);
         }
     }
 
     /// Returns the address of the limit's coordinator; `None` where that is this box, or no box is
     /// known.
-    fn remote_coordinator(&self, life: &UpstreamLife, zone: &Zone) -> Option<SocketAddr> {
+    fn remote_coordinator(
+        &self,
+        incarnation: &UpstreamIncarnation,
+        zone: &Zone,
+    ) -> Option<SocketAddr> {
         let region = self.regions.get(zone);
         let in_zone = |limit_box: &LimitBox| &limit_box.zone == zone;
         let in_region = |limit_box: &LimitBox| self.regions.get(&limit_box.zone) == region;
         let coordinator = self
-            .highest_ranked(life, in_zone)
-            .or_else(|| self.highest_ranked(life, in_region))
-            .or_else(|| self.highest_ranked(life, |_| true))?;
+            .highest_ranked(incarnation, in_zone)
+            .or_else(|| self.highest_ranked(incarnation, in_region))
+            .or_else(|| self.highest_ranked(incarnation, |_| true))?;
         (coordinator.id != self.me).then_some(coordinator.address)
     }
 
     fn highest_ranked(
         &self,
-        life: &UpstreamLife,
+        incarnation: &UpstreamIncarnation,
         is_candidate: impl Fn(&LimitBox) -> bool,
     ) -> Option<&LimitBox> {
-        let upstream = object_hash("limit", life.upstream.as_str().as_bytes());
+        let upstream = object_hash("limit", incarnation.upstream.as_str().as_bytes());
         let candidates = self
             .boxes
             .iter()
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use brasswinch_routing::{
     Backend, Change, Claim, ClientLimits, ConfigVersion, FleetState, Placement, PlacementSettings,
     Rank, RegionLimits, Revised, Revision, Route, RouteKind, Scope, ServiceConfig, Snapshot,
-    SteeringConfig, UpstreamRecord, UpstreamState, Wanted,
+    SteeringConfig, UpstreamRecord, UpstreamRequest, UpstreamState,
 };
 use brasswinch_types::{BoxId, Region, Service, UpstreamId, Zone};
 use std::collections::{BTreeMap, BTreeSet};
@@ -130,10 +130,10 @@
         me: BoxId::new("box-1"),
         region: Region::new(region),
         zones: zones(),
-        most_shift: 0.15,
-        keep_vanished_ms: 1_500,
+        max_shift: 0.15,
+        retain_lost_ms: 1_500,
         after_evacuation_ms: 3_000,
-        least_keepers: 1,
+        min_coordinators: 1,
     }
 }
 
@@ -142,8 +142,8 @@
     object: &'a [u8],
     anywhere: &'a BTreeSet<Region>,
     tried: &'a [UpstreamId],
-) -> Wanted<'a> {
-    Wanted {
+) -> UpstreamRequest<'a> {
+    UpstreamRequest {
         service,
         object: Some(object),
         rank: Rank {
--- a/crates/routing/tests/health_askers.rs
+++ b/crates/routing/tests/health_askers.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use brasswinch_routing::{HealthAsker, HealthAskers, UpstreamRecord};
+use brasswinch_routing::{HealthProber, HealthProbers, UpstreamRecord};
 use brasswinch_types::{BoxId, Zone};
 use common::{upstream, zones};
 
@@ -21,14 +21,14 @@
 /// Returns the boxes of `boxes` that probe `upstream`.
 fn probing_boxes(boxes: &[BoxInZone], upstream: &UpstreamRecord) -> Vec<&'static str> {
     let zones = zones();
-    let asks = |(me, _): &&BoxInZone| {
-        let all = boxes.iter().map(|(id, zone)| HealthAsker {
+    let probes = |(me, _): &&BoxInZone| {
+        let all = boxes.iter().map(|(id, zone)| HealthProber {
             id: BoxId::new(*id),
             zone: Zone::new(*zone),
         });
-        HealthAskers::new(&BoxId::new(*me), &zones, all).asks(upstream)
+        HealthProbers::new(&BoxId::new(*me), &zones, all).probes(upstream)
     };
-    boxes.iter().filter(asks).map(|(id, _)| *id).collect()
+    boxes.iter().filter(probes).map(|(id, _)| *id).collect()
 }
 
 #[test]
--- a/crates/routing/tests/keeping.rs
+++ b/crates/routing/tests/keeping.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use brasswinch_routing::{
-    Advice, Change, Ending, LoadReport, Placement, PlacementSettings, Question, UpstreamOutcome,
-    UpstreamState,
+    Advice, AdviceQuery, Change, CompletionReport, LoadReport, Placement, PlacementSettings,
+    UpstreamOutcome, UpstreamState,
 };
 use brasswinch_types::{BoxId, Region, UpstreamId};
 use common::{SLOTS, config, fleet, revised, service, settings_in, upstream, wanted};
@@ -40,25 +40,25 @@
     }
 
     /// Returns the coordinator for an object and the query that box `number` sends to it.
-    fn query(&mut self, number: usize, object: &str, now: u64) -> (BoxId, Question) {
+    fn query(&mut self, number: usize, object: &str, now: u64) -> (BoxId, AdviceQuery) {
         let id = self.ids[number % self.ids.len()].clone();
         let query = self.next_query_id;
         self.next_query_id += 1;
         let (service, anywhere) = (service(), BTreeSet::new());
         let wanted = wanted(&service, object.as_bytes(), &anywhere, &[]);
-        let asked = self.at(&id).question(&wanted, query, LEFT_MS, now);
+        let asked = self.at(&id).advice_query(&wanted, query, LEFT_MS, now);
         asked.unwrap()
     }
 
     /// Sends the query of box `number` to the coordinator and returns the reply too.
-    fn ask(&mut self, number: usize, object: &str, now: u64) -> (BoxId, Question, Advice) {
+    fn ask(&mut self, number: usize, object: &str, now: u64) -> (BoxId, AdviceQuery, Advice) {
         let (coordinator, query) = self.query(number, object, now);
         let advice = self.at(&coordinator).advise(&query, now).unwrap();
         (coordinator, query, advice)
     }
 
-    fn end(&mut self, coordinator: &BoxId, completion: &Ending, now: u64) {
-        self.at(coordinator).ended_elsewhere(completion, now);
+    fn end(&mut self, coordinator: &BoxId, completion: &CompletionReport, now: u64) {
+        self.at(coordinator).record_completion(completion, now);
     }
 }
 
@@ -67,13 +67,17 @@
         me: id.clone(),
         ..settings_in("west")
     });
-    placement.set_keepers(all.to_vec());
+    placement.set_coordinators(all.to_vec());
     placement.update(&fleet(3), &config(1), 1);
     placement
 }
 
-fn completion(query: &Question, upstream: Option<&UpstreamId>, outcome: UpstreamOutcome) -> Ending {
-    Ending {
+fn completion(
+    query: &AdviceQuery,
+    upstream: Option<&UpstreamId>,
+    outcome: UpstreamOutcome,
+) -> CompletionReport {
+    CompletionReport {
         started: None,
         id: query.id,
         service: query.service.clone(),
@@ -84,7 +88,7 @@
     }
 }
 
-fn answered(query: &Question, advice: &Advice) -> Ending {
+fn answered(query: &AdviceQuery, advice: &Advice) -> CompletionReport {
     let upstream = Some(&advice.upstream);
     completion(query, upstream, UpstreamOutcome::Answered)
 }
@@ -212,7 +216,7 @@
     let completion = answered(&query, &advice);
     boxes.end(&coordinator, &completion, 3);
     boxes.end(&coordinator, &completion, 3);
-    let unknown = Ending {
+    let unknown = CompletionReport {
         id: 9_999,
         ..completion
     };
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use brasswinch_routing::{
-    Change, ChangeKey, Choice, Ending, FleetState, LoadReport, Placement, PlacementSettings,
-    UpstreamOutcome, UpstreamRecord, UpstreamStart,
+    Change, ChangeKey, Choice, CompletionReport, FleetState, LoadReport, Placement,
+    PlacementSettings, UpstreamOutcome, UpstreamRecord, UpstreamStart,
 };
 use brasswinch_types::BoxId;
 use common::{config, placement_in, revised, service, settings_in, upstream, wanted};
@@ -103,15 +103,15 @@
         me: me.clone(),
         ..settings_in("west")
     });
-    placement.set_keepers(vec![me]);
+    placement.set_coordinators(vec![me]);
     let mut test = Test::new(placement);
     let (service, anywhere) = (service(), BTreeSet::new());
     let wanted = wanted(&service, b"7", &anywhere, &[]);
-    let (_, query) = test.placement.question(&wanted, 1, 500, 20).unwrap();
+    let (_, query) = test.placement.advice_query(&wanted, 1, 500, 20).unwrap();
     let advice = test.placement.advise(&query, 20).unwrap();
     test.write(2, record(5_000), 40);
-    test.placement.ended_elsewhere(
-        &Ending {
+    test.placement.record_completion(
+        &CompletionReport {
             id: 1,
             service: service.clone(),
             object: query.object,
@@ -122,7 +122,7 @@
         },
         50,
     );
-    let (_, query) = test.placement.question(&wanted, 2, 500, 60).unwrap();
+    let (_, query) = test.placement.advice_query(&wanted, 2, 500, 60).unwrap();
     let later = test.placement.advise(&query, 60).unwrap();
     assert!(!later.has_served);
     // Advice about the earlier incarnation isn't followed.
@@ -138,8 +138,11 @@
 fn a_leaving_upstream_stays_unused_when_its_entry_comes_back() {
     let mut test = Test::new(placement_in("west"));
     let choice = test.choose(20).unwrap();
-    assert!(test.placement.leaves(&choice));
-    assert!(!test.placement.leaves(&choice), "it was known before");
+    assert!(test.placement.record_leaving(&choice));
+    assert!(
+        !test.placement.record_leaving(&choice),
+        "it was known before"
+    );
     assert!(test.choose(30).is_none());
     let gone = Change::Gone(ChangeKey::Upstream(choice.upstream.clone()));
     test.fleet.apply(revised(2, gone), 40);
@@ -158,11 +161,11 @@
 fn an_unreadable_signal_is_new_once_for_each_incarnation() {
     let mut test = Test::new(placement_in("west"));
     let first = test.choose(20).unwrap();
-    assert!(test.placement.says_unreadable(&first));
-    assert!(!test.placement.says_unreadable(&first));
+    assert!(test.placement.record_unreadable_signal(&first));
+    assert!(!test.placement.record_unreadable_signal(&first));
     test.write(2, record(5_000), 40);
     let next = test.choose(50).unwrap();
-    assert!(test.placement.says_unreadable(&next));
+    assert!(test.placement.record_unreadable_signal(&next));
 }
 
 /// Guards against a reported cold period of a year being applied in full.
@@ -170,15 +173,15 @@
 fn a_reported_cold_period_is_capped_by_that_of_the_service() {
     const YEAR_MS: u64 = 31_536_000_000;
     let mut test = Test::new(placement_in("west"));
-    let life = test.choose(20).unwrap().life();
-    assert!(test.placement.turned_cold(&life, YEAR_MS, 100));
+    let incarnation = test.choose(20).unwrap().incarnation();
+    assert!(test.placement.record_cold(&incarnation, YEAR_MS, 100));
     assert!(
-        !test.placement.turned_cold(&life, YEAR_MS, 110),
+        !test.placement.record_cold(&incarnation, YEAR_MS, 110),
         "it was known before"
     );
-    assert!(test.placement.is_cold(&life, 3_000));
+    assert!(test.placement.is_cold(&incarnation, 3_000));
     assert!(
-        !test.placement.is_cold(&life, 3_000 + 1_000),
+        !test.placement.is_cold(&incarnation, 3_000 + 1_000),
         "the cold period and its margin are over"
     );
 }
@@ -188,8 +191,8 @@
 #[test]
 fn a_later_entry_or_incarnation_overrides_a_reported_cold_period() {
     let mut test = Test::new(placement_in("west"));
-    let cold = test.choose(20).unwrap().life();
-    test.placement.turned_cold(&cold, 3_000, 100);
+    let cold = test.choose(20).unwrap().incarnation();
+    test.placement.record_cold(&cold, 3_000, 100);
     test.placement.update(&test.fleet, &config(1), 150);
     assert!(
         test.placement.is_cold(&cold, 200),
@@ -199,7 +202,7 @@
     entry.slots += 1;
     test.write(2, entry, 300);
     assert!(!test.placement.is_cold(&cold, 400));
-    test.placement.turned_cold(&cold, 3_000, 500);
+    test.placement.record_cold(&cold, 3_000, 500);
     test.write(3, record(5_000), 600);
-    assert!(!test.placement.is_cold(&record(5_000).life(), 700));
+    assert!(!test.placement.is_cold(&record(5_000).incarnation(), 700));
 }
--- a/crates/routing/tests/look_up.rs
+++ b/crates/routing/tests/look_up.rs
@@ -1,7 +1,7 @@
 //! Selection of boxes for look-up answers, at the size designed for.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
-use brasswinch_routing::{MOST_NAMED, NamedBox, named};
+use brasswinch_routing::{CandidateBox, MAX_LISTED_BOXES, select_boxes};
 use brasswinch_types::Zone;
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -18,11 +18,11 @@
 }
 
 /// Returns `per_zone` boxes in each of `zones` zones; one in ten is five times as large.
-fn region(zones: usize, per_zone: usize) -> Vec<NamedBox> {
+fn region(zones: usize, per_zone: usize) -> Vec<CandidateBox> {
     (0..zones * per_zone)
         .map(|number| {
             let is_large = (number / zones).is_multiple_of(10);
-            NamedBox {
+            CandidateBox {
                 address: address(number),
                 zone: zone(number % zones),
                 size: if is_large { 100 } else { 20 },
@@ -41,7 +41,7 @@
     // One of three zones used to lose its boxes when answers were cut off after 64 addresses.
     let region_boxes = region(3, 32);
     for number in 0..3 {
-        let names: BTreeSet<SocketAddr> = named(&region_boxes, &zone(number), &mut random())
+        let names: BTreeSet<SocketAddr> = select_boxes(&region_boxes, &zone(number), &mut random())
             .into_iter()
             .collect();
         let own = region_boxes
@@ -66,7 +66,7 @@
             candidate.address = at.into();
         }
         for number in 0..PER_REGION {
-            let names = named(&region_boxes, &zone(number), &mut random());
+            let names = select_boxes(&region_boxes, &zone(number), &mut random());
             let own = region_boxes
                 .iter()
                 .filter(|candidate| candidate.zone == zone(number));
@@ -87,10 +87,10 @@
     let mut counts: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     let mut answers = BTreeSet::new();
     for _ in 0..400 {
-        let names = named(&region_boxes, &zone(0), &mut random);
-        assert_eq!(names.len(), MOST_NAMED);
+        let names = select_boxes(&region_boxes, &zone(0), &mut random);
+        assert_eq!(names.len(), MAX_LISTED_BOXES);
         let distinct: BTreeSet<SocketAddr> = names.iter().copied().collect();
-        assert_eq!(distinct.len(), MOST_NAMED, "no box is listed twice");
+        assert_eq!(distinct.len(), MAX_LISTED_BOXES, "no box is listed twice");
         answers.insert(distinct);
         for name in names {
             *counts.entry(name).or_default() += 1;
@@ -114,13 +114,16 @@
 #[test]
 fn a_zone_with_few_boxes_lists_the_boxes_of_its_region() {
     let region_boxes = region(3, 2);
-    assert_eq!(named(&region_boxes, &zone(0), &mut random()).len(), 6);
     assert_eq!(
-        named(&region_boxes, &zone(9), &mut random()).len(),
+        select_boxes(&region_boxes, &zone(0), &mut random()).len(),
+        6
+    );
+    assert_eq!(
+        select_boxes(&region_boxes, &zone(9), &mut random()).len(),
         6,
         "the zone has no box"
     );
-    assert!(named(&[], &zone(0), &mut random()).is_empty());
+    assert!(select_boxes(&[], &zone(0), &mut random()).is_empty());
 }
 
 /// One zone gets two thirds of its region's load.
@@ -133,8 +136,8 @@
     {
         candidate.requests_per_s = Some(60.0);
     }
-    let names = named(&region_boxes, &zone(1), &mut random());
-    assert_eq!(names.len(), MOST_NAMED);
+    let names = select_boxes(&region_boxes, &zone(1), &mut random());
+    assert_eq!(names.len(), MAX_LISTED_BOXES);
     let own = region_boxes
         .iter()
         .filter(|candidate| candidate.zone == zone(1));
@@ -142,7 +145,10 @@
     let elsewhere = names.iter().filter(|name| !own.contains(name)).count();
     assert!(elsewhere >= 32, "{elsewhere} boxes of other zones");
     // The callers of other zones keep their zone.
-    assert_eq!(named(&region_boxes, &zone(2), &mut random()).len(), 32);
+    assert_eq!(
+        select_boxes(&region_boxes, &zone(2), &mut random()).len(),
+        32
+    );
 }
 
 #[test]
@@ -154,7 +160,7 @@
         candidate.size = 0;
     }
     for number in 0..3 {
-        let names = named(&region_boxes, &zone(number), &mut random());
+        let names = select_boxes(&region_boxes, &zone(number), &mut random());
         assert!(names.len() >= 32);
     }
 }
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -164,10 +164,10 @@
             me,
             region: Region::new("west"),
             zones: zones(),
-            most_shift: 0.15,
-            keep_vanished_ms: 1_500,
+            max_shift: 0.15,
+            retain_lost_ms: 1_500,
             after_evacuation_ms: 3_000,
-            least_keepers: 1,
+            min_coordinators: 1,
         });
         let boxes: Vec<BoxId> = (0..12).map(|n| BoxId::new(format!("box-{n}"))).collect();
         placement.set_boxes(boxes.iter(), BTreeMap::new());
@@ -214,9 +214,9 @@
 /// retention time after a loss within one service is shorter.
 #[test]
 fn entries_lost_in_a_store_outage_are_retained_until_they_can_be_written_again() {
-    let keep_vanished_ms = 300;
+    let retain_lost_ms = 300;
     let mut placement = Placement::new(PlacementSettings {
-        keep_vanished_ms,
+        retain_lost_ms,
         ..settings_in("west")
     });
     let mut fleet = fleet(2);
--- a/crates/routing/tests/resting_upstreams.rs
+++ b/crates/routing/tests/resting_upstreams.rs
@@ -40,7 +40,7 @@
 
     /// Makes the upstream of `choice` refuse the request and ask for a backoff.
     fn refused(&mut self, choice: &Choice, seconds: &str, now: u64) {
-        self.placement.rests(choice, rest(seconds), now);
+        self.placement.record_backoff(choice, rest(seconds), now);
         self.placement.ended(choice, UpstreamOutcome::Shed, now);
     }
 }
@@ -107,7 +107,7 @@
         (1_900..=2_375).contains(&retry_after_ms),
         "{retry_after_ms}"
     );
-    assert_eq!(basis.home.unwrap().state, HomeState::Resting);
+    assert_eq!(basis.home.unwrap().state, HomeState::BackingOff);
 }
 
 /// Guards against losing the backoff with the upstream's entry: the upstream got requests before
--- a/crates/routing/tests/shared_bounds.rs
+++ b/crates/routing/tests/shared_bounds.rs
@@ -2,7 +2,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
-    AveragedDemand, ColdPacing, DemandSample, RegionPlan, RegionRoom, RetryBudget,
+    AveragedDemand, ColdPacing, DemandSample, RegionCapacity, RegionPlan, RetryBudget,
     RetryBudgetSettings,
 };
 use brasswinch_types::Region;
@@ -66,7 +66,7 @@
         let mut dice = dice.into_iter();
         let mut sent = 0;
         for group_size in groups {
-            let group_per_s = cold_per_s * ColdPacing::group_part(group_size, boxes);
+            let group_per_s = cold_per_s * ColdPacing::group_fraction(group_size, boxes);
             for _ in 0..ColdPacing::warmers(group_size) {
                 let (mut pacing, random) = (ColdPacing::default(), dice.next().unwrap());
                 let admitted = (0..SPAN_MS).filter(|now| pacing.admit(group_per_s, group_size, random, *now));
@@ -123,15 +123,15 @@
         let mut plan = RegionPlan::default();
         let mut history: Vec<[f64; 3]> = Vec::new();
         for (step, (slots, demand)) in steps.into_iter().enumerate() {
-            let rooms: Vec<RegionRoom> = (0..3)
-                .map(|index| RegionRoom {
+            let rooms: Vec<RegionCapacity> = (0..3)
+                .map(|index| RegionCapacity {
                     region: regions[index].clone(),
                     slots: slots[index],
                     demand: demand[index],
                 })
                 .collect();
             plan.advance(&regions[0], &rooms, MAX_SHIFT, 1 + step as u64 * 500);
-            let parts = [0, 1, 2].map(|index: usize| plan.part(&regions[index]));
+            let parts = [0, 1, 2].map(|index: usize| plan.share(&regions[index]));
             let sum: f64 = parts.iter().sum();
             prop_assert!((sum - 1.0).abs() < 1e-6, "{parts:?}");
             history.push(parts);
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_region_without_room_gets_nothing_at_once() {
-    let room = |name: &str, slots, demand| RegionRoom {
+    let room = |name: &str, slots, demand| RegionCapacity {
         region: Region::new(name),
         slots,
         demand,
@@ -161,18 +161,18 @@
     let both = [room("west", 10.0, 50.0), room("north", 10.0, 50.0)];
     plan.advance(&west, &both, 0.15, 1);
     assert!(
-        plan.part(&west) > 0.99,
+        plan.share(&west) > 0.99,
         "it keeps the requests that it has room for"
     );
     let lost = [room("west", 0.0, 50.0), room("north", 10.0, 50.0)];
     plan.advance(&west, &lost, 0.15, 2);
-    assert_eq!(plan.part(&west), 0.0);
-    assert!(plan.part(&Region::new("north")) > 0.99);
+    assert_eq!(plan.share(&west), 0.0);
+    assert!(plan.share(&Region::new("north")) > 0.99);
 }
 
 #[test]
 fn what_a_region_has_no_room_for_goes_where_room_is_left() {
-    let room = |name: &str, slots| RegionRoom {
+    let room = |name: &str, slots| RegionCapacity {
         region: Region::new(name),
         slots,
         demand: 100.0,
@@ -181,7 +181,7 @@
     let mut plan = RegionPlan::default();
     let rooms = [room("west", 2.0), room("north", 8.0), room("south", 10.0)];
     plan.advance(&west, &rooms, 0.15, 1);
-    let [own, north, south] = ["west", "north", "south"].map(|r| plan.part(&Region::new(r)));
+    let [own, north, south] = ["west", "north", "south"].map(|r| plan.share(&Region::new(r)));
     assert!((0.2..0.5).contains(&own), "{own}");
     assert!(south > north && north > 0.0, "{north} {south}");
 }
--- a/crates/routing/tests/upstream_limits.rs
+++ b/crates/routing/tests/upstream_limits.rs
@@ -8,8 +8,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
-    LimitAdmission, LimitAnswer, LimitBox, LimitNews, LimitQuestion, LimitWord, UpstreamLife,
-    UpstreamLimit, UpstreamLimits, UpstreamStart,
+    LimitAdmission, LimitAnswer, LimitBox, LimitNews, LimitQuestion, LimitWord,
+    UpstreamIncarnation, UpstreamLimit, UpstreamLimits, UpstreamStart,
 };
 use brasswinch_types::{BoxId, Millis, Region, UpstreamId, Zone};
 use rand::rngs::StdRng;
@@ -186,8 +186,8 @@
     presumed_dead: Option<usize>,
 }
 
-fn life() -> UpstreamLife {
-    UpstreamLife {
+fn incarnation() -> UpstreamIncarnation {
+    UpstreamIncarnation {
         upstream: UpstreamId::new("upstream"),
         started: None,
     }
@@ -329,13 +329,13 @@
         });
         probe.set_boxes(serving.map(limit_box).collect(), 0);
         let update = LimitNews {
-            life: life(),
+            incarnation: incarnation(),
             limit: UpstreamLimit::try_from(1.0).ok(),
             is_first: true,
             is_from_coordinator: true,
         };
         probe.hear_news(&update, 1);
-        match probe.admit(&life(), &Zone::new(HOME_ZONE), 1, 0.5, 1) {
+        match probe.admit(&incarnation(), &Zone::new(HOME_ZONE), 1, 0.5, 1) {
             LimitAdmission::Ask(asked) => place_of(asked.address),
             other => panic!("no coordinator to ask: {other:?}"),
         }
@@ -505,9 +505,9 @@
                 if limit.is_some() {
                     self.boxes[at_box].learned_at.get_or_insert(now);
                 }
-                let (life, zone) = (life(), Zone::new(HOME_ZONE));
+                let (incarnation, zone) = (incarnation(), Zone::new(HOME_ZONE));
                 let answer = LimitAnswer {
-                    life: &life,
+                    incarnation: &incarnation,
                     zone: &zone,
                     limit,
                     had_grant,
@@ -543,7 +543,7 @@
         let (zone, now) = (Zone::new(HOME_ZONE), self.now);
         let admission = self.boxes[at_box]
             .limits
-            .admit(&life(), &zone, id, random, now);
+            .admit(&incarnation(), &zone, id, random, now);
         let LimitAdmission::Ask(asked) = admission else {
             if admission == LimitAdmission::Granted {
                 self.granted.push(now);
@@ -712,9 +712,9 @@
     limit: Option<UpstreamLimit>,
     had_grant: bool,
 ) -> Vec<(usize, LimitNews)> {
-    let (life, zone) = (life(), Zone::new(HOME_ZONE));
+    let (incarnation, zone) = (incarnation(), Zone::new(HOME_ZONE));
     let answer = LimitAnswer {
-        life: &life,
+        incarnation: &incarnation,
         zone: &zone,
         limit,
         had_grant,
@@ -737,7 +737,7 @@
         assert_eq!(to, [0, 2]);
         other.hear_news(&messages[1].1, 3);
         for limits in [&first, &coordinator, &other] {
-            assert_eq!(limits.limit(&life()), declared);
+            assert_eq!(limits.limit(&incarnation()), declared);
         }
         assert!(
             other.take_news().is_empty(),
@@ -752,9 +752,9 @@
     observe(&mut limits, Some(limit(9.0)), false);
     // The upstream may have made this response before it declared its limit.
     assert!(observe(&mut limits, None, false).is_empty());
-    assert_eq!(limits.limit(&life()), Some(limit(9.0)));
+    assert_eq!(limits.limit(&incarnation()), Some(limit(9.0)));
     observe(&mut limits, None, true);
-    assert_eq!(limits.limit(&life()), None);
+    assert_eq!(limits.limit(&incarnation()), None);
 }
 
 #[test]
@@ -766,7 +766,7 @@
     // bucket fills.
     let granted = (0..20).find_map(|step| {
         let now = 1_000 + step * 100;
-        let LimitAdmission::Ask(asked) = missed.admit(&life(), &zone, step, 0.5, now) else {
+        let LimitAdmission::Ask(asked) = missed.admit(&incarnation(), &zone, step, 0.5, now) else {
             panic!("a box that knows of a limit asks the coordinator");
         };
         let reply = coordinator.hear_question(&asked.question, now);
@@ -775,21 +775,21 @@
     assert!(granted.is_some());
     let messages = observe(&mut missed, None, true);
     coordinator.hear_news(&messages[0].1, 5_000);
-    assert_eq!(missed.limit(&life()), None);
-    assert_eq!(coordinator.limit(&life()), None);
+    assert_eq!(missed.limit(&incarnation()), None);
+    assert_eq!(coordinator.limit(&incarnation()), None);
 }
 
 #[test]
 fn another_life_of_the_upstream_names_its_own_limit() {
     let mut limits = box_among(0);
     observe(&mut limits, Some(limit(9.0)), false);
-    let next = UpstreamLife {
+    let next = UpstreamIncarnation {
         started: Some(UpstreamStart(2)),
-        ..life()
+        ..incarnation()
     };
     assert_eq!(limits.limit(&next), None);
-    limits.retain(|life| *life == next);
-    assert_eq!(limits.limit(&life()), None);
+    limits.retain(|incarnation| *incarnation == next);
+    assert_eq!(limits.limit(&incarnation()), None);
 }
 
 #[test]
