--- a/crates/edge/src/datagram.rs
+++ b/crates/edge/src/datagram.rs
@@ -2,8 +2,8 @@
 
 use crate::health::ColdNews;
 use brasswinch_routing::{
-    Advice, AdviceQuery, CompletionReport, LimitNews, LimitQuestion, LimitWord, QuotaCount,
-    QuotaWord, RunReport, SwimMessage,
+    Advice, AdviceQuery, CompletionReport, CrashReport, LimitQuery, LimitReply, LimitUpdate,
+    QuotaCount, QuotaReply, SwimMessage,
 };
 use serde::{Deserialize, Serialize};
 
@@ -27,19 +27,19 @@
     QuotaCount(QuotaCount),
     /// The quota owner's reply.
     #[serde(rename = "w")]
-    QuotaWord(QuotaWord),
+    QuotaReply(QuotaReply),
     /// Reports upstreams that crashed under a request, or a run of it that was answered.
     #[serde(rename = "r")]
-    RunReport(RunReport),
+    CrashReport(CrashReport),
     /// Asks for a grant to send a request to an upstream with a limit.
     #[serde(rename = "l")]
-    LimitQuestion(LimitQuestion),
+    LimitQuery(LimitQuery),
     /// The limit owner's reply.
     #[serde(rename = "g")]
-    LimitWord(LimitWord),
+    LimitReply(LimitReply),
     /// Announces that an upstream has set, changed or removed its limit.
     #[serde(rename = "n")]
-    LimitNews(LimitNews),
+    LimitUpdate(LimitUpdate),
     /// Announces that an upstream is cold.
     #[serde(rename = "k")]
     ColdNews(ColdNews),
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -356,7 +356,7 @@
                 attempts.placement_key = Some(digest.to_bytes());
                 Ok(())
             }
-            Verdict::ShutOut { for_ms } => Err(Failure::ShutOut {
+            Verdict::Quarantined { for_ms } => Err(Failure::ShutOut {
                 retry_after_ms: for_ms,
                 digest,
             }),
@@ -392,7 +392,7 @@
     fn is_shut_out(&self, attempts: &Attempts) -> bool {
         let verdict = |digest: &RequestDigest| self.context.quarantine_verdict(*digest);
         let verdict = attempts.digest.get().map(verdict);
-        matches!(verdict, Some(Verdict::ShutOut { .. }))
+        matches!(verdict, Some(Verdict::Quarantined { .. }))
     }
 
     fn log_served(&self, logged_choice: &LoggedChoice, status: u16, attempts: usize) {
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/figures.rs
@@ -172,7 +172,7 @@
     fn write_quarantine(&self, text: &mut String) {
         let mut counts: BTreeMap<(Service, &'static str), u64> = BTreeMap::new();
         for request in self.quarantine_status() {
-            let state = match request.shut_out_for_ms {
+            let state = match request.quarantined_for_ms {
                 Some(_) => "shut_out",
                 None => "suspected",
             };
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -98,11 +98,11 @@
         Ok(Datagram::Advice(advice)) => context.handle_advice(advice, from),
         Ok(Datagram::CompletionReport(completion)) => context.handle_completion(&completion),
         Ok(Datagram::QuotaCount(count)) => context.handle_quota_count(&count, from),
-        Ok(Datagram::QuotaWord(reply)) => context.handle_quota_reply(reply, from),
-        Ok(Datagram::RunReport(report)) => context.handle_crash_report(&report, from),
-        Ok(Datagram::LimitQuestion(question)) => context.handle_limit_query(&question, from),
-        Ok(Datagram::LimitWord(reply)) => context.handle_limit_reply(reply),
-        Ok(Datagram::LimitNews(news)) => context.handle_limit_update(&news),
+        Ok(Datagram::QuotaReply(reply)) => context.handle_quota_reply(reply, from),
+        Ok(Datagram::CrashReport(report)) => context.handle_crash_report(&report, from),
+        Ok(Datagram::LimitQuery(question)) => context.handle_limit_query(&question, from),
+        Ok(Datagram::LimitReply(reply)) => context.handle_limit_reply(reply),
+        Ok(Datagram::LimitUpdate(news)) => context.handle_limit_update(&news),
         Ok(Datagram::ColdNews(news)) => context.hear_cold(&news),
         Ok(Datagram::Swim(message)) => {
             if let SwimMessage::Known { id, views, failing } = &message {
--- a/crates/edge/src/quarantine.rs
+++ b/crates/edge/src/quarantine.rs
@@ -6,8 +6,9 @@
 use crate::datagram::Datagram;
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
-    BrokenRun, MemberRecord, Quarantine, QuarantineBox, QuarantineChange, QuarantineNews,
-    RequestDigest, RequestShape, RunReport, ShutOutStatus, Suspect, UpstreamIncarnation, Verdict,
+    CrashReport, MemberRecord, Quarantine, QuarantineBox, QuarantineChange, QuarantineEvent,
+    QuarantineStatus, RequestDigest, RequestShape, Suspect, UpstreamCrash, UpstreamIncarnation,
+    Verdict,
 };
 use brasswinch_types::BoxId;
 use std::fmt;
@@ -43,7 +44,7 @@
 impl Context {
     /// Returns whether there may be a record of a request of this shape.
     pub(crate) fn may_be_quarantined(&self, shape: RequestShape) -> bool {
-        self.quarantine.lock().may_know(shape)
+        self.quarantine.lock().may_have_record(shape)
     }
 
     /// Returns the verdict on a request.
@@ -61,27 +62,29 @@
         began: Instant,
     ) {
         let now = self.clock.now();
-        let run = BrokenRun {
+        let run = UpstreamCrash {
             upstream: at.upstream.clone(),
             started: at.started,
             began: now.saturating_sub(Clock::millis(began.elapsed())),
             ended: now,
         };
-        self.quarantine.lock().broke(digest, suspect, run, now);
+        self.quarantine
+            .lock()
+            .record_crash(digest, suspect, run, now);
         self.send_crash_reports();
     }
 
     /// Records that an upstream answered the request.
     pub(crate) fn run_answered(&self, digest: RequestDigest) {
         let now = self.clock.now();
-        self.quarantine.lock().answered(digest, now);
+        self.quarantine.lock().record_answer(digest, now);
         self.send_crash_reports();
     }
 
     /// Handles another box's report on a request.
-    pub(crate) fn handle_crash_report(&self, report: &RunReport, from: SocketAddr) {
+    pub(crate) fn handle_crash_report(&self, report: &CrashReport, from: SocketAddr) {
         let now = self.clock.now();
-        let heard = self.quarantine.lock().hear(report, from, now);
+        let heard = self.quarantine.lock().handle_report(report, from, now);
         match heard {
             Ok(()) => self.send_crash_reports(),
             Err(error) => emit(Event::PeerMalformed, format_args!("{from}: {error}")),
@@ -106,7 +109,7 @@
     }
 
     /// Takes the requests that have yet to be stored, each with its remaining duration.
-    pub(crate) fn take_unconfirmed(&self) -> Vec<(RunReport, Duration)> {
+    pub(crate) fn take_unconfirmed(&self) -> Vec<(CrashReport, Duration)> {
         let now = self.clock.now();
         let unconfirmed = self.quarantine.lock().take_unconfirmed(now);
         let spans = unconfirmed.into_iter();
@@ -116,9 +119,9 @@
     }
 
     /// Merges the store's report on a request.
-    pub(crate) fn merge_stored_quarantine(&self, report: &RunReport) {
+    pub(crate) fn merge_stored_quarantine(&self, report: &CrashReport) {
         let now = self.clock.now();
-        let heard = self.quarantine.lock().confirmed(report, now);
+        let heard = self.quarantine.lock().merge_stored(report, now);
         match heard {
             Ok(()) => self.send_crash_reports(),
             Err(error) => emit(Event::ConfigMalformed, format_args!("quarantine: {error}")),
@@ -126,7 +129,7 @@
     }
 
     /// Returns the quarantine status for operators.
-    pub(crate) fn quarantine_status(&self) -> Vec<ShutOutStatus> {
+    pub(crate) fn quarantine_status(&self) -> Vec<QuarantineStatus> {
         let now = self.clock.now();
         self.quarantine.lock().status(now)
     }
@@ -135,15 +138,15 @@
         let now = self.clock.now();
         let mut quarantine = self.quarantine.lock();
         let reports = quarantine.take_reports(now);
-        let events = quarantine.take_news();
+        let events = quarantine.take_events();
         drop(quarantine);
         for (to, report) in reports {
-            self.send_datagram(&Datagram::RunReport(report), to);
+            self.send_datagram(&Datagram::CrashReport(report), to);
         }
         events.iter().for_each(log_event);
         if events
             .iter()
-            .any(|event| event.change == QuarantineChange::ShutOut)
+            .any(|event| event.change == QuarantineChange::Quarantined)
         {
             self.quarantine.has_unconfirmed.notify_one();
         }
@@ -158,25 +161,25 @@
     }
 }
 
-fn log_event(event: &QuarantineNews) {
+fn log_event(event: &QuarantineEvent) {
     let kind = match event.change {
         QuarantineChange::Suspected => Event::RequestSuspected,
-        QuarantineChange::ShutOut => Event::RequestShutOut,
+        QuarantineChange::Quarantined => Event::RequestShutOut,
         QuarantineChange::Cleared => Event::RequestCleared,
-        QuarantineChange::LetOut => Event::RequestLetOut,
+        QuarantineChange::Released => Event::RequestLetOut,
     };
     let (digest, service) = (event.digest, &event.suspect.service);
     let workspace = event.suspect.workspace.as_ref();
     let workspace = workspace.map_or("-", |workspace| workspace.as_str());
-    let runs = CrashList(&event.runs);
+    let crashes = CrashList(&event.crashes);
     emit(
         kind,
-        format_args!("digest={digest} service={service} workspace={workspace} {runs}"),
+        format_args!("digest={digest} service={service} workspace={workspace} {crashes}"),
     );
 }
 
 /// Formats crashes for a log line: each upstream, and how long the request ran there.
-struct CrashList<'a>(&'a [BrokenRun]);
+struct CrashList<'a>(&'a [UpstreamCrash]);
 
 impl fmt::Display for CrashList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
--- a/crates/edge/src/quarantine_store.rs
+++ b/crates/edge/src/quarantine_store.rs
@@ -7,7 +7,7 @@
 use crate::store::{QuarantineStore, StoreFailure};
 use crate::store_calls::{CallReason, StoreCall};
 use brasswinch_observe::{Event, emit};
-use brasswinch_routing::{Liveness, RunReport};
+use brasswinch_routing::{CrashReport, Liveness};
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -39,7 +39,7 @@
 async fn confirm_one<S: QuarantineStore>(
     context: &Context,
     store: &S,
-    report: &RunReport,
+    report: &CrashReport,
     ttl: Duration,
 ) {
     for _ in 0..MAX_ATTEMPTS {
--- a/crates/edge/src/quotas.rs
+++ b/crates/edge/src/quotas.rs
@@ -7,7 +7,7 @@
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
     Admission, KnownWorkspace, MemberRecord, QuotaBounds, QuotaBox, QuotaCount, QuotaLimit,
-    QuotaStatus, QuotaWord, Quotas, SteeringConfig, ToKeeper,
+    QuotaReply, QuotaStatus, Quotas, SteeringConfig, ToCoordinator,
 };
 use brasswinch_types::{BoxId, Millis, Workspace};
 use std::net::SocketAddr;
@@ -22,7 +22,7 @@
 #[derive(Debug)]
 pub(crate) struct QuotaTasks {
     quotas: Mutex<Quotas>,
-    waiters: Waiters<QuotaWord>,
+    waiters: Waiters<QuotaReply>,
 }
 
 impl QuotaTasks {
@@ -116,7 +116,7 @@
     }
 
     /// Queries a quota's coordinator, and once more if the reply doesn't come.
-    async fn query_quota(&self, query: ToKeeper, limit: QuotaLimit) -> Admission {
+    async fn query_quota(&self, query: ToCoordinator, limit: QuotaLimit) -> Admission {
         match self.query_quota_once(query, limit, false).await {
             Admission::Ask(again) => self.query_quota_once(again, limit, true).await,
             decided => decided,
@@ -125,7 +125,7 @@
 
     async fn query_quota_once(
         &self,
-        query: ToKeeper,
+        query: ToCoordinator,
         limit: QuotaLimit,
         is_last: bool,
     ) -> Admission {
@@ -136,13 +136,13 @@
         let now = self.clock.now();
         let mut quotas = self.quotas.quotas();
         match reply {
-            Some(reply) => quotas.answered(&reply, query.address, rand::random(), now),
-            None => quotas.unanswered(query, limit, is_last, now),
+            Some(reply) => quotas.handle_grant_reply(&reply, query.address, rand::random(), now),
+            None => quotas.handle_timeout(query, limit, is_last, now),
         }
     }
 
-    fn send_to_coordinator(&self, message: Option<ToKeeper>) {
-        if let Some(ToKeeper { address, count }) = message {
+    fn send_to_coordinator(&self, message: Option<ToCoordinator>) {
+        if let Some(ToCoordinator { address, count }) = message {
             self.send_datagram(&Datagram::QuotaCount(count), address);
         }
     }
@@ -162,16 +162,16 @@
             return;
         };
         let now = self.clock.now();
-        let reply = self.quotas.quotas().hear_count(count, from, limit, now);
+        let reply = self.quotas.quotas().handle_count(count, from, limit, now);
         // A correction needs no reply.
         if let Some(reply) = reply.filter(|_| count.id != 0) {
-            self.send_datagram(&Datagram::QuotaWord(reply), from);
+            self.send_datagram(&Datagram::QuotaReply(reply), from);
         }
         self.broadcast_at_quota();
     }
 
     /// Handles a coordinator's reply or broadcast.
-    pub(crate) fn handle_quota_reply(&self, reply: QuotaWord, from: SocketAddr) {
+    pub(crate) fn handle_quota_reply(&self, reply: QuotaReply, from: SocketAddr) {
         let Some(reply) = self.quotas.waiters.answered(reply.id, reply) else {
             return;
         };
@@ -179,7 +179,7 @@
             return;
         };
         let now = self.clock.now();
-        let message = self.quotas.quotas().hear_word(&reply, from, limit, now);
+        let message = self.quotas.quotas().handle_reply(&reply, from, limit, now);
         self.send_to_coordinator(message);
     }
 
@@ -192,7 +192,7 @@
     /// Broadcasts which workspaces have reached their quota, where that is due.
     fn broadcast_at_quota(&self) {
         let mut quotas = self.quotas.quotas();
-        let broadcasts = quotas.take_words_for_all();
+        let broadcasts = quotas.take_broadcasts();
         if broadcasts.is_empty() {
             return;
         }
@@ -204,7 +204,7 @@
                 Event::WorkspaceAtQuota,
                 format_args!("workspace={workspace}"),
             );
-            let datagram = Datagram::QuotaWord(broadcast);
+            let datagram = Datagram::QuotaReply(broadcast);
             others
                 .iter()
                 .for_each(|other| self.send_datagram(&datagram, *other));
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::context::{Context, Lifecycle, SCOPES};
 use brasswinch_routing::{
-    LimitStatus, Liveness, QuotaStatus, Scope, ServiceStatus, ShutOutStatus, StoreDuty,
+    LimitStatus, Liveness, QuarantineStatus, QuotaStatus, Scope, ServiceStatus, StoreDuty,
 };
 use brasswinch_types::{BoxId, Millis, Service, Zone};
 use serde::{Deserialize, Serialize};
@@ -40,7 +40,7 @@
     /// Request limits of upstreams.
     pub limits: Vec<LimitStatus>,
     /// Requests that are suspected of crashing upstreams, or blocked for it.
-    pub quarantine: Vec<ShutOutStatus>,
+    pub quarantine: Vec<QuarantineStatus>,
     /// Number of boxes that share the fleet's limits, including this one.
     pub fleet_size: usize,
     /// Number of other boxes that are alive.
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -1,6 +1,6 @@
 //! Interface of the store that holds configuration and upstreams.
 
-use brasswinch_routing::{Revised, Revision, RunReport, Scope, Snapshot};
+use brasswinch_routing::{CrashReport, Revised, Revision, Scope, Snapshot};
 use brasswinch_types::BoxId;
 use serde::{Deserialize, Serialize};
 use std::future::Future;
@@ -84,12 +84,12 @@
     /// Stores the report on a request under a new lease that lasts for `ttl`.
     fn confirm(
         &self,
-        report: &RunReport,
+        report: &CrashReport,
         ttl: Duration,
     ) -> impl Future<Output = Result<LeaseId, StoreFailure>> + Send;
 
     /// Returns the reports on all stored requests.
-    fn confirmed(&self) -> impl Future<Output = Result<Vec<RunReport>, StoreFailure>> + Send;
+    fn confirmed(&self) -> impl Future<Output = Result<Vec<CrashReport>, StoreFailure>> + Send;
 }
 
 /// The fleet size, stored for boxes that start while all others are gone or unreachable.
--- a/crates/edge/src/upstream_limits.rs
+++ b/crates/edge/src/upstream_limits.rs
@@ -8,8 +8,8 @@
 use crate::waiters::Waiters;
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
-    Basis, Choice, LimitAdmission, LimitAnswer, LimitBox, LimitChange, LimitNews, LimitQuestion,
-    LimitRefusal, LimitStatus, LimitWord, MemberRecord, ToLimitKeeper, UpstreamIncarnation,
+    Basis, Choice, LimitAdmission, LimitBox, LimitChange, LimitQuery, LimitRefusal, LimitReply,
+    LimitStatus, LimitUpdate, MemberRecord, ObservedLimit, ToLimitCoordinator, UpstreamIncarnation,
     UpstreamLimit, UpstreamLimits, UpstreamOutcome,
 };
 use brasswinch_types::{BoxId, Millis, Region, Zone};
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub(crate) struct UpstreamLimitTasks {
     limits: Mutex<UpstreamLimits>,
-    waiters: Waiters<LimitWord>,
+    waiters: Waiters<LimitReply>,
 }
 
 impl UpstreamLimitTasks {
@@ -116,7 +116,7 @@
                     chosen.grant = Grant::Given;
                     return Ok(chosen);
                 }
-                UpstreamLimits::unheard(rand::random())
+                UpstreamLimits::no_reply_refusal(rand::random())
             }
             Err(refusal) => refusal,
         };
@@ -146,40 +146,40 @@
             LimitAdmission::Granted => Ok(Grant::Given),
             LimitAdmission::Refused(refusal) => Err(refusal),
             // A query is not retried; a missing reply refuses the request.
-            LimitAdmission::Ask(_) => Err(UpstreamLimits::unheard(random)),
+            LimitAdmission::Ask(_) => Err(UpstreamLimits::no_reply_refusal(random)),
         }
     }
 
     async fn query_limit(
         &self,
-        message: ToLimitKeeper,
+        message: ToLimitCoordinator,
         left: Duration,
         random: f64,
     ) -> LimitAdmission {
-        let ToLimitKeeper { address, question } = message;
-        let waiting = self.upstream_limits.waiters.wait(question.id);
-        self.send_datagram(&Datagram::LimitQuestion(question), address);
+        let ToLimitCoordinator { address, query } = message;
+        let waiting = self.upstream_limits.waiters.wait(query.id);
+        self.send_datagram(&Datagram::LimitQuery(query), address);
         let reply = waiting.within(REPLY_TIMEOUT.min(left)).await;
-        UpstreamLimits::answered(reply.as_ref(), random)
+        UpstreamLimits::admission_from_reply(reply.as_ref(), random)
     }
 
     /// Replies to another box's query.
-    pub(crate) fn handle_limit_query(&self, question: &LimitQuestion, from: SocketAddr) {
+    pub(crate) fn handle_limit_query(&self, query: &LimitQuery, from: SocketAddr) {
         let now = self.clock.now();
-        let reply = self.upstream_limits.lock().hear_question(question, now);
-        self.send_datagram(&Datagram::LimitWord(reply), from);
+        let reply = self.upstream_limits.lock().handle_query(query, now);
+        self.send_datagram(&Datagram::LimitReply(reply), from);
     }
 
     /// Handles a coordinator's reply.
-    pub(crate) fn handle_limit_reply(&self, reply: LimitWord) {
+    pub(crate) fn handle_limit_reply(&self, reply: LimitReply) {
         // Late replies are dropped: no request waits for them any more.
         let _ = self.upstream_limits.waiters.answered(reply.id, reply);
     }
 
     /// Handles another box's update on an upstream's limit.
-    pub(crate) fn handle_limit_update(&self, update: &LimitNews) {
+    pub(crate) fn handle_limit_update(&self, update: &LimitUpdate) {
         let now = self.clock.now();
-        let change = self.upstream_limits.lock().hear_news(update, now);
+        let change = self.upstream_limits.lock().handle_update(update, now);
         self.send_limit_updates();
         report_change(&update.incarnation, change, "peer");
     }
@@ -190,14 +190,14 @@
             return;
         }
         let incarnation = choice.incarnation();
-        let answer = LimitAnswer {
+        let answer = ObservedLimit {
             incarnation: &incarnation,
             zone: &choice.zone,
             limit,
             had_grant: grant == Grant::Given,
         };
         let now = self.clock.now();
-        let change = self.upstream_limits.lock().named(&answer, now);
+        let change = self.upstream_limits.lock().record_observed(&answer, now);
         if change.is_some() {
             self.send_limit_updates();
             report_change(&incarnation, change, "answer");
@@ -205,9 +205,9 @@
     }
 
     fn send_limit_updates(&self) {
-        let out = self.upstream_limits.lock().take_news();
+        let out = self.upstream_limits.lock().take_updates();
         for (to, update) in out {
-            self.send_datagram(&Datagram::LimitNews(update), to);
+            self.send_datagram(&Datagram::LimitUpdate(update), to);
         }
     }
 
--- a/crates/edge/tests/crashing_requests.rs
+++ b/crates/edge/tests/crashing_requests.rs
@@ -11,7 +11,7 @@
 use brasswinch_edge::{Dialect, EdgeHandle, QuarantineStore, start};
 use brasswinch_lab::memory_store::MemoryStore;
 use brasswinch_lab::routed_upstream::{Behaviour, Upstream};
-use brasswinch_routing::{Change, ChangeKey, RunReport};
+use brasswinch_routing::{Change, ChangeKey, CrashReport};
 use brasswinch_types::{Region, UpstreamId, Zone};
 use common::{PATIENCE, call, config, eventually, record, request, settings};
 use std::net::SocketAddr;
@@ -297,7 +297,7 @@
 }
 
 /// Returns what the store of another fleet holds after that fleet has blocked the request.
-async fn blocked_in_another_fleet() -> Vec<RunReport> {
+async fn blocked_in_another_fleet() -> Vec<CrashReport> {
     let store = MemoryStore::default().handle();
     store.write(Change::Config(Arc::new(config(1))));
     let service = Service::start(&store).await;
--- a/crates/edge/tests/suspended_boxes.rs
+++ b/crates/edge/tests/suspended_boxes.rs
@@ -128,7 +128,7 @@
         status
             .quarantine
             .iter()
-            .any(|request| request.shut_out_for_ms.is_some())
+            .any(|request| request.quarantined_for_ms.is_some())
     };
     let mut tries = 0;
     while !is_blocked() {
--- a/crates/lab/src/memory_store.rs
+++ b/crates/lab/src/memory_store.rs
@@ -8,7 +8,7 @@
     StoreFailure, Watched,
 };
 use brasswinch_routing::{
-    Change, ChangeKey, RequestDigest, Revised, Revision, RunReport, Scope, Snapshot,
+    Change, ChangeKey, CrashReport, RequestDigest, Revised, Revision, Scope, Snapshot,
 };
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -24,7 +24,7 @@
     calls: u64,
     next_lease: u64,
     registrations: BTreeMap<u64, Registration>,
-    quarantine: BTreeMap<RequestDigest, RunReport>,
+    quarantine: BTreeMap<RequestDigest, CrashReport>,
     fleet_size: Option<u32>,
 }
 
@@ -340,7 +340,7 @@
 }
 
 impl QuarantineStore for MemoryStore {
-    async fn confirm(&self, report: &RunReport, _ttl: Duration) -> Result<LeaseId, StoreFailure> {
+    async fn confirm(&self, report: &CrashReport, _ttl: Duration) -> Result<LeaseId, StoreFailure> {
         self.fail_if_told(Duration::ZERO).await?;
         let mut state = self.state();
         state.next_lease += 1;
@@ -348,7 +348,7 @@
         Ok(LeaseId(state.next_lease))
     }
 
-    async fn confirmed(&self) -> Result<Vec<RunReport>, StoreFailure> {
+    async fn confirmed(&self) -> Result<Vec<CrashReport>, StoreFailure> {
         self.fail_if_told(Duration::ZERO).await?;
         Ok(self.state().quarantine.values().cloned().collect())
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -52,12 +52,12 @@
     UpstreamRequest,
 };
 pub use quarantine::{
-    BrokenRun, Quarantine, QuarantineBox, QuarantineChange, QuarantineNews, ReportError, RunReport,
-    ShutOutStatus, Suspect, ToldRun, Verdict,
+    CrashReport, Quarantine, QuarantineBox, QuarantineChange, QuarantineEvent, QuarantineStatus,
+    ReportError, ReportedCrash, Suspect, UpstreamCrash, Verdict,
 };
 pub use quota::{
-    Admission, QuotaBounds, QuotaBox, QuotaCount, QuotaLoan, QuotaStatus, QuotaWord, Quotas,
-    ToKeeper,
+    Admission, QuotaBounds, QuotaBox, QuotaCount, QuotaLoan, QuotaReply, QuotaStatus, Quotas,
+    ToCoordinator,
 };
 pub use region_plan::{RegionCapacity, RegionPlan};
 pub use rendezvous::{object_hash, weighted_score};
@@ -70,8 +70,8 @@
 };
 pub use upstream::{UpstreamIncarnation, UpstreamRecord, UpstreamStart, UpstreamState};
 pub use upstream_limits::{
-    LimitAdmission, LimitAnswer, LimitBox, LimitChange, LimitNews, LimitQuestion, LimitRefusal,
-    LimitStatus, LimitWord, ToLimitKeeper, UpstreamLimit, UpstreamLimits,
+    LimitAdmission, LimitBox, LimitChange, LimitQuery, LimitRefusal, LimitReply, LimitStatus,
+    LimitUpdate, ObservedLimit, ToLimitCoordinator, UpstreamLimit, UpstreamLimits,
 };
 pub use upstream_load::{LoadReport, UpstreamLoad};
 pub use view_limits::ViewLimits;
--- a/crates/routing/src/quarantine/message.rs
+++ b/crates/routing/src/quarantine/message.rs
@@ -11,7 +11,7 @@
 
 /// A crash in a report. Its times are relative, since the clocks of boxes differ.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ToldRun {
+pub struct ReportedCrash {
     /// The upstream.
     #[serde(rename = "u")]
     pub upstream: UpstreamId,
@@ -28,7 +28,7 @@
 
 /// A box's full record of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RunReport {
+pub struct CrashReport {
     /// The request.
     #[serde(rename = "d")]
     pub digest: RequestDigest,
@@ -37,7 +37,7 @@
     pub suspect: Suspect,
     /// Its crashes, oldest first.
     #[serde(rename = "r")]
-    pub runs: Vec<ToldRun>,
+    pub crashes: Vec<ReportedCrash>,
     /// Time since one of its attempts was last answered, in milliseconds; `None` if never.
     #[serde(rename = "a")]
     pub answered_ago_ms: Option<Millis>,
@@ -60,10 +60,10 @@
     TooOld(Millis),
 }
 
-impl RunReport {
+impl CrashReport {
     /// Adds `by_ms` to the age of each event.
     pub(super) fn age_by(&mut self, by_ms: Millis) {
-        for crash in &mut self.runs {
+        for crash in &mut self.crashes {
             crash.began_ago_ms += by_ms;
             crash.ended_ago_ms += by_ms;
         }
@@ -72,20 +72,20 @@
 
     /// Checks whether the report can be true.
     pub(super) fn check(&self) -> Result<(), ReportError> {
-        if self.runs.is_empty() && self.answered_ago_ms.is_none() {
+        if self.crashes.is_empty() && self.answered_ago_ms.is_none() {
             return Err(ReportError::Empty);
         }
-        if self.runs.len() > MAX_CRASHES {
-            return Err(ReportError::TooManyCrashes(self.runs.len()));
+        if self.crashes.len() > MAX_CRASHES {
+            return Err(ReportError::TooManyCrashes(self.crashes.len()));
         }
         if self
-            .runs
+            .crashes
             .iter()
             .any(|crash| crash.began_ago_ms < crash.ended_ago_ms)
         {
             return Err(ReportError::EndedBeforeBegin);
         }
-        let began = self.runs.iter().map(|crash| crash.began_ago_ms);
+        let began = self.crashes.iter().map(|crash| crash.began_ago_ms);
         let longest = began.chain(self.answered_ago_ms).max().unwrap_or(0);
         if longest > MAX_AGE_MS {
             return Err(ReportError::TooOld(longest));
--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -14,10 +14,10 @@
 mod sender;
 mod status;
 
-pub use message::{ReportError, RunReport, ToldRun};
-pub use record::{BrokenRun, Suspect, Verdict};
+pub use message::{CrashReport, ReportError, ReportedCrash};
+pub use record::{Suspect, UpstreamCrash, Verdict};
 pub use sender::QuarantineBox;
-pub use status::ShutOutStatus;
+pub use status::QuarantineStatus;
 
 use crate::request_digest::{RequestDigest, RequestShape};
 use brasswinch_types::{BoxId, Millis, Workspace};
@@ -46,16 +46,16 @@
     /// Upstreams ended under it twice in sequence.
     Suspected,
     /// It is quarantined.
-    ShutOut,
+    Quarantined,
     /// One of its attempts was answered.
     Cleared,
     /// Its quarantine has expired; one more crash quarantines it again.
-    LetOut,
+    Released,
 }
 
 /// A change to be logged.
 #[derive(Clone, Debug, PartialEq)]
-pub struct QuarantineNews {
+pub struct QuarantineEvent {
     /// The request.
     pub digest: RequestDigest,
     /// Its service and workspace.
@@ -63,7 +63,7 @@
     /// The change.
     pub change: QuarantineChange,
     /// The crashes that led to it.
-    pub runs: Vec<BrokenRun>,
+    pub crashes: Vec<UpstreamCrash>,
 }
 
 /// One box's records of requests under which upstreams ended.
@@ -75,7 +75,7 @@
     sender: ReportSender,
     /// Newly quarantined requests that this box coordinates.
     unconfirmed: Vec<RequestDigest>,
-    events: Vec<QuarantineNews>,
+    events: Vec<QuarantineEvent>,
 }
 
 impl Quarantine {
@@ -91,7 +91,7 @@
     }
 
     /// Whether a request of this shape may be on record.
-    pub fn may_know(&self, shape: RequestShape) -> bool {
+    pub fn may_have_record(&self, shape: RequestShape) -> bool {
         self.shapes.contains(&shape)
     }
 
@@ -102,11 +102,11 @@
     }
 
     /// Records that an upstream ended under the request at this box.
-    pub fn broke(
+    pub fn record_crash(
         &mut self,
         digest: RequestDigest,
         suspect: &Suspect,
-        crash: BrokenRun,
+        crash: UpstreamCrash,
         now: Millis,
     ) {
         self.record(digest, suspect).add_crash(crash);
@@ -114,11 +114,11 @@
     }
 
     /// Records that an upstream answered the request at this box.
-    pub fn answered(&mut self, digest: RequestDigest, now: Millis) {
+    pub fn record_answer(&mut self, digest: RequestDigest, now: Millis) {
         let Some(record) = self.records.get_mut(&digest) else {
             return;
         };
-        if record.answered(now) {
+        if record.record_answer(now) {
             self.publish_change(digest, true, now);
         }
     }
@@ -129,9 +129,9 @@
     /// # Errors
     ///
     /// Returns an error if the report can't be true; nothing of it is recorded.
-    pub fn hear(
+    pub fn handle_report(
         &mut self,
-        report: &RunReport,
+        report: &CrashReport,
         from: SocketAddr,
         now: Millis,
     ) -> Result<(), ReportError> {
@@ -139,8 +139,8 @@
         let digest = report.digest;
         let record = self.record(digest, &report.suspect);
         let is_changed = record.merge(report, now);
-        let lacks_crashes = report.runs.len() < record.runs().len();
-        if lacks_crashes && record.level(now) >= Level::LetOut {
+        let lacks_crashes = report.crashes.len() < record.crashes().len();
+        if lacks_crashes && record.level(now) >= Level::Released {
             let full_report = record.report(digest, now);
             self.sender.reply(from, full_report, now);
         }
@@ -155,7 +155,7 @@
     /// # Errors
     ///
     /// Returns an error if the report can't be true; nothing of it is recorded.
-    pub fn confirmed(&mut self, report: &RunReport, now: Millis) -> Result<(), ReportError> {
+    pub fn merge_stored(&mut self, report: &CrashReport, now: Millis) -> Result<(), ReportError> {
         report.check()?;
         let record = self.record(report.digest, &report.suspect);
         if record.merge(report, now) {
@@ -166,12 +166,12 @@
 
     /// Takes the newly quarantined requests that this box has to write to the platform's store,
     /// each with the remaining time of its quarantine, in milliseconds.
-    pub fn take_unconfirmed(&mut self, now: Millis) -> Vec<(RunReport, Millis)> {
+    pub fn take_unconfirmed(&mut self, now: Millis) -> Vec<(CrashReport, Millis)> {
         let unconfirmed = std::mem::take(&mut self.unconfirmed);
         let quarantined = unconfirmed.into_iter().filter_map(|digest| {
             let record = self.records.get(&digest)?;
             match record.verdict(now) {
-                Verdict::ShutOut { for_ms } => Some((record.report(digest, now), for_ms)),
+                Verdict::Quarantined { for_ms } => Some((record.report(digest, now), for_ms)),
                 _ => None,
             }
         });
@@ -197,12 +197,12 @@
     pub fn tick(&mut self, now: Millis) {
         let mut released = Vec::new();
         for (digest, record) in &mut self.records {
-            if record.take_level_change(now) == Some(Level::LetOut) {
+            if record.take_level_change(now) == Some(Level::Released) {
                 released.push(*digest);
             }
         }
         for digest in released {
-            self.push_event(digest, QuarantineChange::LetOut);
+            self.push_event(digest, QuarantineChange::Released);
         }
         let count = self.records.len();
         self.records.retain(|_, record| !record.is_expired(now));
@@ -212,20 +212,20 @@
     }
 
     /// Takes the reports to send now, each with its destination.
-    pub fn take_reports(&mut self, now: Millis) -> Vec<(SocketAddr, RunReport)> {
+    pub fn take_reports(&mut self, now: Millis) -> Vec<(SocketAddr, CrashReport)> {
         self.sender.take(now)
     }
 
     /// Takes the changes since the last call.
-    pub fn take_news(&mut self) -> Vec<QuarantineNews> {
+    pub fn take_events(&mut self) -> Vec<QuarantineEvent> {
         std::mem::take(&mut self.events)
     }
 
     /// Returns the status of suspected and quarantined requests.
-    pub fn status(&self, now: Millis) -> Vec<ShutOutStatus> {
+    pub fn status(&self, now: Millis) -> Vec<QuarantineStatus> {
         let known = self.records.iter();
         known
-            .filter_map(|(digest, record)| ShutOutStatus::of(*digest, record, now))
+            .filter_map(|(digest, record)| QuarantineStatus::of(*digest, record, now))
             .collect()
     }
 
@@ -242,7 +242,7 @@
         let report = record.report(digest, now);
         let change = match record.take_level_change(now) {
             Some(Level::Suspected) => Some(QuarantineChange::Suspected),
-            Some(Level::ShutOut) => Some(QuarantineChange::ShutOut),
+            Some(Level::Quarantined) => Some(QuarantineChange::Quarantined),
             Some(Level::Clear) => Some(QuarantineChange::Cleared),
             _ => None,
         };
@@ -254,7 +254,7 @@
             if must_report || is_coordinator {
                 self.sender.broadcast(&report, now);
             }
-            if is_coordinator && change == QuarantineChange::ShutOut {
+            if is_coordinator && change == QuarantineChange::Quarantined {
                 self.unconfirmed.push(digest);
             }
             self.push_event(digest, change);
@@ -265,11 +265,11 @@
         let Some(record) = self.records.get(&digest) else {
             return;
         };
-        self.events.push(QuarantineNews {
+        self.events.push(QuarantineEvent {
             digest,
             suspect: record.suspect().clone(),
             change,
-            runs: record.runs().to_vec(),
+            crashes: record.crashes().to_vec(),
         });
     }
 
--- a/crates/routing/src/quarantine/record.rs
+++ b/crates/routing/src/quarantine/record.rs
@@ -1,6 +1,6 @@
 //! The record of one request: the crashes that occurred one after another.
 
-use super::message::{RunReport, ToldRun};
+use super::message::{CrashReport, ReportedCrash};
 use super::{CRASHES_TO_QUARANTINE, CRASHES_TO_SUSPECT};
 use crate::request_digest::{RequestDigest, RequestShape};
 use crate::upstream::UpstreamStart;
@@ -40,7 +40,7 @@
 
 /// An attempt whose connection to the upstream broke without a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BrokenRun {
+pub struct UpstreamCrash {
     /// The upstream.
     pub upstream: UpstreamId,
     /// The instance of the upstream.
@@ -51,7 +51,7 @@
     pub ended: Millis,
 }
 
-impl BrokenRun {
+impl UpstreamCrash {
     fn is_same_upstream(&self, other: &Self) -> bool {
         (&self.upstream, self.started) == (&other.upstream, other.started)
     }
@@ -65,7 +65,7 @@
     /// An upstream ended under it: the request is placed by its own digest.
     Suspect,
     /// The request is quarantined.
-    ShutOut {
+    Quarantined {
         /// Remaining time of the quarantine, in milliseconds.
         for_ms: Millis,
     },
@@ -77,11 +77,11 @@
     /// No crash, or too few to inform all boxes.
     Clear,
     /// Its quarantine has expired.
-    LetOut,
+    Released,
     /// Enough crashes to inform all boxes.
     Suspected,
     /// Enough crashes to quarantine it.
-    ShutOut,
+    Quarantined,
 }
 
 /// The record of one request.
@@ -91,7 +91,7 @@
     /// Crashes, each of an attempt that began after the one before had ended. Of attempts that
     /// overlap in time only one counts: where many upstreams end together, none of their requests
     /// is the cause.
-    runs: Vec<BrokenRun>,
+    crashes: Vec<UpstreamCrash>,
     /// When an attempt was last answered; 0 if never.
     answered_at: Millis,
     last_level: Level,
@@ -101,7 +101,7 @@
     pub(super) fn new(suspect: Suspect) -> Self {
         Self {
             suspect,
-            runs: Vec::new(),
+            crashes: Vec::new(),
             answered_at: 0,
             last_level: Level::Clear,
         }
@@ -111,49 +111,52 @@
         &self.suspect
     }
 
-    pub(super) fn runs(&self) -> &[BrokenRun] {
-        &self.runs
+    pub(super) fn crashes(&self) -> &[UpstreamCrash] {
+        &self.crashes
     }
 
     /// Adds a crash; returns whether the record changed.
-    pub(super) fn add_crash(&mut self, crash: BrokenRun) -> bool {
-        let is_known = self.runs.iter().any(|known| known.is_same_upstream(&crash));
+    pub(super) fn add_crash(&mut self, crash: UpstreamCrash) -> bool {
+        let is_known = self
+            .crashes
+            .iter()
+            .any(|known| known.is_same_upstream(&crash));
         if is_known || crash.ended <= self.answered_at {
             return false;
         }
-        let mut all = self.runs.clone();
+        let mut all = self.crashes.clone();
         all.push(crash);
         let kept = sequential(all);
-        let is_changed = kept != self.runs;
-        self.runs = kept;
+        let is_changed = kept != self.crashes;
+        self.crashes = kept;
         is_changed
     }
 
     /// Records that an attempt was answered at `at`; returns whether the record changed.
-    pub(super) fn answered(&mut self, at: Millis) -> bool {
+    pub(super) fn record_answer(&mut self, at: Millis) -> bool {
         if at <= self.answered_at {
             return false;
         }
         self.answered_at = at;
-        let count_before = self.runs.len();
-        self.runs.retain(|crash| crash.ended > at);
-        self.runs.len() != count_before
+        let count_before = self.crashes.len();
+        self.crashes.retain(|crash| crash.ended > at);
+        self.crashes.len() != count_before
     }
 
     /// Merges another box's report; returns whether the record changed.
-    pub(super) fn merge(&mut self, report: &RunReport, now: Millis) -> bool {
+    pub(super) fn merge(&mut self, report: &CrashReport, now: Millis) -> bool {
         let ago = |ago_ms: Millis| now.saturating_sub(ago_ms);
         let mut is_changed = report
             .answered_ago_ms
-            .is_some_and(|ago_ms| self.answered(ago(ago_ms)));
+            .is_some_and(|ago_ms| self.record_answer(ago(ago_ms)));
         // Reports take different times to arrive, so that crashes from two reports may seem to
         // overlap. Those of one report never do: if it contains more crashes than are on record
         // here, its times are used.
         let mut merged = Self {
-            runs: Vec::new(),
+            crashes: Vec::new(),
             ..self.clone()
         };
-        let reported = report.runs.iter().map(|reported_crash| BrokenRun {
+        let reported = report.crashes.iter().map(|reported_crash| UpstreamCrash {
             upstream: reported_crash.upstream.clone(),
             started: reported_crash.started,
             began: ago(reported_crash.began_ago_ms),
@@ -163,42 +166,42 @@
             merged.add_crash(crash.clone());
             is_changed |= self.add_crash(crash);
         }
-        if merged.runs.len() > self.runs.len() {
-            self.runs = merged.runs;
+        if merged.crashes.len() > self.crashes.len() {
+            self.crashes = merged.crashes;
             is_changed = true;
         }
         is_changed
     }
 
-    pub(super) fn report(&self, digest: RequestDigest, now: Millis) -> RunReport {
-        let reported_crash = |crash: &BrokenRun| ToldRun {
+    pub(super) fn report(&self, digest: RequestDigest, now: Millis) -> CrashReport {
+        let reported_crash = |crash: &UpstreamCrash| ReportedCrash {
             upstream: crash.upstream.clone(),
             started: crash.started,
             began_ago_ms: now.saturating_sub(crash.began),
             ended_ago_ms: now.saturating_sub(crash.ended),
         };
-        RunReport {
+        CrashReport {
             digest,
             suspect: self.suspect.clone(),
-            runs: self.runs.iter().map(reported_crash).collect(),
+            crashes: self.crashes.iter().map(reported_crash).collect(),
             answered_ago_ms: (self.answered_at > 0).then(|| now.saturating_sub(self.answered_at)),
         }
     }
 
     pub(super) fn verdict(&self, now: Millis) -> Verdict {
         match self.level(now) {
-            Level::ShutOut => Verdict::ShutOut {
+            Level::Quarantined => Verdict::Quarantined {
                 for_ms: self.quarantined_until().saturating_sub(now),
             },
-            _ if self.runs.is_empty() => Verdict::Unknown,
+            _ if self.crashes.is_empty() => Verdict::Unknown,
             _ => Verdict::Suspect,
         }
     }
 
     pub(super) fn level(&self, now: Millis) -> Level {
-        match self.runs.len() {
-            CRASHES_TO_QUARANTINE.. if now < self.quarantined_until() => Level::ShutOut,
-            CRASHES_TO_QUARANTINE.. => Level::LetOut,
+        match self.crashes.len() {
+            CRASHES_TO_QUARANTINE.. if now < self.quarantined_until() => Level::Quarantined,
+            CRASHES_TO_QUARANTINE.. => Level::Released,
             CRASHES_TO_SUSPECT.. => Level::Suspected,
             _ => Level::Clear,
         }
@@ -214,16 +217,16 @@
 
     /// Returns when the quarantine ends; 0 if the request was never quarantined.
     pub(super) fn quarantined_until(&self) -> Millis {
-        let Some(surplus) = self.runs.len().checked_sub(CRASHES_TO_QUARANTINE) else {
+        let Some(surplus) = self.crashes.len().checked_sub(CRASHES_TO_QUARANTINE) else {
             return 0;
         };
-        let ended = self.runs.last().map_or(0, |crash| crash.ended);
+        let ended = self.crashes.last().map_or(0, |crash| crash.ended);
         ended + (QUARANTINE_MS << surplus.min(MAX_DOUBLINGS))
     }
 
     /// Whether the record may be removed.
     pub(super) fn is_expired(&self, now: Millis) -> bool {
-        match self.runs.last() {
+        match self.crashes.last() {
             Some(last) => now >= self.quarantined_until().max(last.ended) + RETENTION_MS,
             None => now >= self.answered_at + CLEARED_RETENTION_MS,
         }
@@ -232,17 +235,17 @@
     /// Returns the order in which records are kept when there are too many: by the number of
     /// crashes, then by the time of the last one.
     pub(super) fn retention_priority(&self) -> (usize, Millis) {
-        let ended = self.runs.last().map_or(0, |crash| crash.ended);
-        (self.runs.len(), ended)
+        let ended = self.crashes.last().map_or(0, |crash| crash.ended);
+        (self.crashes.len(), ended)
     }
 }
 
 /// Returns the longest sequence of crashes in which each attempt began after the one before had
 /// ended, limited to the newest [`MAX_CRASHES`].
-fn sequential(mut runs: Vec<BrokenRun>) -> Vec<BrokenRun> {
-    runs.sort_by_key(|crash| crash.ended);
-    let mut kept: Vec<BrokenRun> = Vec::with_capacity(runs.len());
-    for crash in runs {
+fn sequential(mut crashes: Vec<UpstreamCrash>) -> Vec<UpstreamCrash> {
+    crashes.sort_by_key(|crash| crash.ended);
+    let mut kept: Vec<UpstreamCrash> = Vec::with_capacity(crashes.len());
+    for crash in crashes {
         if kept.last().is_none_or(|last| crash.began >= last.ended) {
             kept.push(crash);
         }
--- a/crates/routing/src/quarantine/sender.rs
+++ b/crates/routing/src/quarantine/sender.rs
@@ -1,6 +1,6 @@
 //! Sends reports to a request's coordinators or to all boxes.
 
-use super::message::RunReport;
+use super::message::CrashReport;
 use crate::rendezvous::{object_hash, weighted_score};
 use crate::request_digest::RequestDigest;
 use brasswinch_types::{BoxId, Millis};
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 struct Outgoing {
     to: SocketAddr,
-    report: RunReport,
+    report: CrashReport,
     /// When the report was created.
     created_at: Millis,
 }
@@ -46,7 +46,7 @@
 struct Rebroadcast {
     at: Millis,
     rounds_left: u32,
-    report: RunReport,
+    report: CrashReport,
     created_at: Millis,
 }
 
@@ -102,7 +102,7 @@
     }
 
     /// Sends a report to the request's coordinators.
-    pub(super) fn send_to_coordinators(&mut self, report: &RunReport, now: Millis) {
+    pub(super) fn send_to_coordinators(&mut self, report: &CrashReport, now: Millis) {
         let mut ranked: Vec<&QuarantineBox> = self.others.iter().collect();
         ranked.sort_by(|a, b| score(report.digest, &b.id).total_cmp(&score(report.digest, &a.id)));
         let coordinators = ranked.into_iter().take(COORDINATORS).cloned();
@@ -111,7 +111,7 @@
     }
 
     /// Sends a report to these boxes.
-    pub(super) fn send(&mut self, boxes: &[QuarantineBox], report: &RunReport, now: Millis) {
+    pub(super) fn send(&mut self, boxes: &[QuarantineBox], report: &CrashReport, now: Millis) {
         self.queue.extend(boxes.iter().map(|peer| Outgoing {
             to: peer.address,
             report: report.clone(),
@@ -120,7 +120,7 @@
     }
 
     /// Replies to the box at `to`.
-    pub(super) fn reply(&mut self, to: SocketAddr, report: RunReport, now: Millis) {
+    pub(super) fn reply(&mut self, to: SocketAddr, report: CrashReport, now: Millis) {
         self.queue.push_back(Outgoing {
             to,
             report,
@@ -129,7 +129,7 @@
     }
 
     /// Broadcasts a report, and schedules the repetition.
-    pub(super) fn broadcast(&mut self, report: &RunReport, now: Millis) {
+    pub(super) fn broadcast(&mut self, report: &CrashReport, now: Millis) {
         let others = self.others.clone();
         self.send(&others, report, now);
         self.rebroadcasts.push_back(Rebroadcast {
@@ -141,7 +141,7 @@
     }
 
     /// Takes the reports to send now.
-    pub(super) fn take(&mut self, now: Millis) -> Vec<(SocketAddr, RunReport)> {
+    pub(super) fn take(&mut self, now: Millis) -> Vec<(SocketAddr, CrashReport)> {
         while self.rebroadcasts.front().is_some_and(|next| next.at <= now) {
             let Some(mut rebroadcast) = self.rebroadcasts.pop_front() else {
                 break;
--- a/crates/routing/src/quarantine/status.rs
+++ b/crates/routing/src/quarantine/status.rs
@@ -8,7 +8,7 @@
 
 /// The status of a suspected or quarantined request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ShutOutStatus {
+pub struct QuarantineStatus {
     /// The request's digest, as in log lines.
     pub digest: String,
     /// Its service.
@@ -21,31 +21,31 @@
     pub last_ago_ms: Millis,
     /// Remaining time of its quarantine, in milliseconds; `None` if it is only suspected.
     #[serde(rename = "shut_out_for_ms")]
-    pub shut_out_for_ms: Option<Millis>,
+    pub quarantined_for_ms: Option<Millis>,
 }
 
-impl ShutOutStatus {
+impl QuarantineStatus {
     pub(super) fn of(digest: RequestDigest, record: &Record, now: Millis) -> Option<Self> {
-        if record.level(now) < Level::LetOut {
+        if record.level(now) < Level::Released {
             return None;
         }
-        let last = record.runs().last()?;
-        let shut_out_for_ms = match record.verdict(now) {
-            Verdict::ShutOut { for_ms } => Some(for_ms),
+        let last = record.crashes().last()?;
+        let quarantined_for_ms = match record.verdict(now) {
+            Verdict::Quarantined { for_ms } => Some(for_ms),
             _ => None,
         };
         Some(Self {
             digest: digest.to_string(),
             service: record.suspect().service.clone(),
             workspace: record.suspect().workspace.clone(),
-            crashes: record.runs().len(),
+            crashes: record.crashes().len(),
             last_ago_ms: now.saturating_sub(last.ended),
-            shut_out_for_ms,
+            quarantined_for_ms,
         })
     }
 }
 
-impl fmt::Display for ShutOutStatus {
+impl fmt::Display for QuarantineStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (digest, service, crashes) = (&self.digest, &self.service, self.crashes);
         write!(f, "{digest} of {service}")?;
@@ -54,7 +54,7 @@
         }
         let last = self.last_ago_ms;
         write!(f, ": {crashes} upstreams ended, the last {last} ms ago")?;
-        match self.shut_out_for_ms {
+        match self.quarantined_for_ms {
             Some(for_ms) => write!(f, ", shut out for {for_ms} ms"),
             None => f.write_str(", suspected"),
         }
--- a/crates/routing/src/quota/coordinator.rs
+++ b/crates/routing/src/quota/coordinator.rs
@@ -1,7 +1,7 @@
 //! The coordinator's side of quotas: counts requests and grants them.
 
 use super::loan::{LEASE_MS, ReceivedLoans};
-use super::{QuotaBounds, QuotaCount, QuotaWord};
+use super::{QuotaBounds, QuotaCount, QuotaReply};
 use crate::refusals::Refusals;
 use crate::token_bucket::{Filling, TokenBucket};
 use crate::workspace::QuotaLimit;
@@ -97,7 +97,7 @@
     /// Fraction of all boxes that this one can reach.
     reachable_fraction: f64,
     /// Messages to broadcast.
-    broadcasts: Vec<QuotaWord>,
+    broadcasts: Vec<QuotaReply>,
 }
 
 impl QuotaCoordinator {
@@ -148,7 +148,7 @@
         from: SocketAddr,
         limit: QuotaLimit,
         now: Millis,
-    ) -> QuotaWord {
+    ) -> QuotaReply {
         let overage = self.bounds.overage(limit);
         let needs_loans = self.bounds.needs_loans(limit);
         let known = self.counters.get_mut(&count.workspace);
@@ -191,9 +191,9 @@
             counter.near_limit_since = now;
             counter.broadcast_at = now;
             self.broadcasts
-                .push(QuotaWord::near_limit(&count.workspace, now));
+                .push(QuotaReply::near_limit(&count.workspace, now));
         }
-        QuotaWord {
+        QuotaReply {
             id: count.id,
             workspace: count.workspace.clone(),
             is_granted,
@@ -204,7 +204,7 @@
     }
 
     /// Takes the messages to broadcast.
-    pub(super) fn take_words_for_all(&mut self) -> Vec<QuotaWord> {
+    pub(super) fn take_broadcasts(&mut self) -> Vec<QuotaReply> {
         std::mem::take(&mut self.broadcasts)
     }
 
@@ -216,7 +216,7 @@
             let needs_broadcast = counter.needs_loans || counter.refusals.is_recent(now);
             if counter.is_near_limit && counter.is_coordinator && is_due && needs_broadcast {
                 counter.broadcast_at = now;
-                self.broadcasts.push(QuotaWord::near_limit(workspace, now));
+                self.broadcasts.push(QuotaReply::near_limit(workspace, now));
             }
         }
     }
--- a/crates/routing/src/quota/local.rs
+++ b/crates/routing/src/quota/local.rs
@@ -1,7 +1,7 @@
 //! A box's side of one workspace's quota that another box coordinates.
 
 use super::loan::{Lending, QuotaLoan};
-use super::{Admission, QuotaWord, ToKeeper};
+use super::{Admission, QuotaReply, ToCoordinator};
 use crate::refusals::with_jitter;
 use crate::token_bucket::{Filling, TokenBucket};
 use brasswinch_types::Millis;
@@ -146,7 +146,7 @@
 
     /// Handles a reply or broadcast of the box at `from`; ignores it unless that is the
     /// coordinator.
-    pub(super) fn handle_reply(&mut self, reply: &QuotaWord, from: SocketAddr, now: Millis) {
+    pub(super) fn handle_reply(&mut self, reply: &QuotaReply, from: SocketAddr, now: Millis) {
         if self.coordinator != Some(from) {
             return;
         }
@@ -167,7 +167,7 @@
     pub(super) fn admit_unreachable(
         &mut self,
         even_rate: f64,
-        outgoing: Option<ToKeeper>,
+        outgoing: Option<ToCoordinator>,
         now: Millis,
     ) -> Admission {
         if self.try_take_local(even_rate, now) {
--- a/crates/routing/src/quota/message.rs
+++ b/crates/routing/src/quota/message.rs
@@ -30,7 +30,7 @@
 
 /// A coordinator's reply or broadcast.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct QuotaWord {
+pub struct QuotaReply {
     /// The request's id; 0 in a broadcast and where the count had none.
     #[serde(rename = "q")]
     pub id: u64,
@@ -51,7 +51,7 @@
     pub stamp: Millis,
 }
 
-impl QuotaWord {
+impl QuotaReply {
     /// Creates the broadcast that the workspace is near its limit.
     pub(super) fn near_limit(workspace: &Workspace, now: Millis) -> Self {
         Self {
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -41,7 +41,7 @@
 use loan::LEASE_MS;
 pub use loan::QuotaLoan;
 use local::LocalQuota;
-pub use message::{QuotaCount, QuotaWord};
+pub use message::{QuotaCount, QuotaReply};
 pub use status::QuotaStatus;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -89,7 +89,7 @@
 
 /// A message to a workspace's coordinator.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ToKeeper {
+pub struct ToCoordinator {
     /// The coordinator's address.
     pub address: SocketAddr,
     /// The message.
@@ -100,9 +100,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
     /// The request may be sent. The message goes to the coordinator, unless that is this box.
-    Send(Option<ToKeeper>),
+    Send(Option<ToCoordinator>),
     /// The coordinator must grant the request first.
-    Ask(ToKeeper),
+    Ask(ToCoordinator),
     /// The request must not be sent.
     Refuse {
         /// Time until a request may be admitted again, in milliseconds.
@@ -259,7 +259,7 @@
         }
         let loan = self.lend(workspace, coordinator.address, limit, now);
         let local = self.local_quotas.entry(workspace.clone()).or_default();
-        let outgoing = ToKeeper {
+        let outgoing = ToCoordinator {
             address: coordinator.address,
             count: QuotaCount {
                 id,
@@ -334,9 +334,9 @@
 
     /// Handles the reply of the coordinator at `from` to a request that waits for a grant. Returns
     /// whether the request may be sent, or when the client should retry.
-    pub fn answered(
+    pub fn handle_grant_reply(
         &mut self,
-        reply: &QuotaWord,
+        reply: &QuotaReply,
         from: SocketAddr,
         random: f64,
         now: Millis,
@@ -359,9 +359,9 @@
 
     /// Handles a missing reply. Returns the message for one more attempt where a coordinator may
     /// be using this box's share; otherwise decides by this box's own share.
-    pub fn unanswered(
+    pub fn handle_timeout(
         &mut self,
-        message: ToKeeper,
+        message: ToCoordinator,
         limit: QuotaLimit,
         is_last: bool,
         now: Millis,
@@ -378,13 +378,13 @@
     /// Handles a reply or broadcast of the box at `from` that no request waits for. Returns the
     /// loan that a broadcast asks for: a coordinator whose workspace is near its limit needs the
     /// boxes' shares.
-    pub fn hear_word(
+    pub fn handle_reply(
         &mut self,
-        reply: &QuotaWord,
+        reply: &QuotaReply,
         from: SocketAddr,
         limit: QuotaLimit,
         now: Millis,
-    ) -> Option<ToKeeper> {
+    ) -> Option<ToCoordinator> {
         let coordinator = self.coordinator(&reply.workspace)?.address;
         let local = self
             .local_quotas
@@ -404,7 +404,7 @@
             refused_locally: 0,
             loan: Some(loan),
         };
-        Some(ToKeeper {
+        Some(ToCoordinator {
             address: from,
             count,
         })
@@ -412,13 +412,13 @@
 
     /// Counts a request that the box at `from` has sent or asks to send. Returns `None` while this
     /// box doesn't know whether it is the coordinator.
-    pub fn hear_count(
+    pub fn handle_count(
         &mut self,
         count: &QuotaCount,
         from: SocketAddr,
         limit: QuotaLimit,
         now: Millis,
-    ) -> Option<QuotaWord> {
+    ) -> Option<QuotaReply> {
         let is_settled = self.is_settled(now);
         is_settled.then(|| self.coordinated.handle_count(count, from, limit, now))
     }
@@ -431,7 +431,7 @@
         limit: QuotaLimit,
         runs: i32,
         now: Millis,
-    ) -> Option<ToKeeper> {
+    ) -> Option<ToCoordinator> {
         let count = QuotaCount {
             id: 0,
             workspace: workspace.clone(),
@@ -447,7 +447,7 @@
             self.coordinated.handle_count(&count, address, limit, now);
             return None;
         }
-        Some(ToKeeper { address, count })
+        Some(ToCoordinator { address, count })
     }
 
     /// Repeats due broadcasts; to be called every few tens of milliseconds.
@@ -456,8 +456,8 @@
     }
 
     /// Takes the messages to broadcast to all other boxes.
-    pub fn take_words_for_all(&mut self) -> Vec<QuotaWord> {
-        self.coordinated.take_words_for_all()
+    pub fn take_broadcasts(&mut self) -> Vec<QuotaReply> {
+        self.coordinated.take_broadcasts()
     }
 
     /// Returns the addresses of the other boxes.
--- a/crates/routing/src/upstream_limits/coordinator.rs
+++ b/crates/routing/src/upstream_limits/coordinator.rs
@@ -1,6 +1,6 @@
 //! The coordinator's side of an upstream's limit: counts requests and grants them.
 
-use super::{LimitNews, LimitQuestion, LimitWord, MAX_LIMITS, UpstreamLimit};
+use super::{LimitQuery, LimitReply, LimitUpdate, MAX_LIMITS, UpstreamLimit};
 use crate::refusals::Refusals;
 use crate::token_bucket::{Filling, TokenBucket};
 use crate::upstream::UpstreamIncarnation;
@@ -79,7 +79,7 @@
 
 impl LimitCoordinator {
     /// Records a declared limit or its end. Returns whether it has to be broadcast.
-    pub(super) fn record(&mut self, update: &LimitNews, now: Millis) -> bool {
+    pub(super) fn record(&mut self, update: &LimitUpdate, now: Millis) -> bool {
         let Some(limit) = update.limit else {
             return self.counters.remove(&update.incarnation).is_some();
         };
@@ -92,10 +92,10 @@
     }
 
     /// Decides about a query, and counts the request if it is granted.
-    pub(super) fn answer(&mut self, query: &LimitQuestion, now: Millis) -> LimitWord {
+    pub(super) fn answer(&mut self, query: &LimitQuery, now: Millis) -> LimitReply {
         let counter = self.get_or_insert(&query.incarnation, query.limit, TAKEOVER_MS, now);
         let Some(counter) = counter else {
-            return LimitWord {
+            return LimitReply {
                 id: query.id,
                 is_granted: false,
                 next_grant_in_ms: *NEXT_GRANT_IN_MS.end() as Millis,
@@ -115,7 +115,7 @@
         }
         let tokens_missing = (YIELDED_REQUESTS - counter.bucket.level()).max(0.0);
         let requests_ahead = counter.refusals.per_s() + tokens_missing;
-        LimitWord {
+        LimitReply {
             id: query.id,
             is_granted,
             next_grant_in_ms: bounded_ms(tokens_missing / rate_per_s, NEXT_GRANT_IN_MS),
--- a/crates/routing/src/upstream_limits/message.rs
+++ b/crates/routing/src/upstream_limits/message.rs
@@ -7,7 +7,7 @@
 
 /// Asks the coordinator of an upstream's limit to grant a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitQuestion {
+pub struct LimitQuery {
     /// Random id of the query, repeated in the reply.
     #[serde(rename = "q")]
     pub id: u64,
@@ -21,7 +21,7 @@
 
 /// A coordinator's reply to a query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitWord {
+pub struct LimitReply {
     /// The query's id.
     #[serde(rename = "q")]
     pub id: u64,
@@ -39,7 +39,7 @@
 /// A limit declared in an upstream's response. It is sent to the coordinator, which broadcasts it
 /// to all boxes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     /// The upstream.
     #[serde(flatten)]
     pub incarnation: UpstreamIncarnation,
--- a/crates/routing/src/upstream_limits/mod.rs
+++ b/crates/routing/src/upstream_limits/mod.rs
@@ -37,7 +37,7 @@
 use brasswinch_types::{BoxId, Millis, Region, Zone};
 use coordinator::LimitCoordinator;
 pub use limit::UpstreamLimit;
-pub use message::{LimitNews, LimitQuestion, LimitWord};
+pub use message::{LimitQuery, LimitReply, LimitUpdate};
 pub use status::LimitStatus;
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -69,11 +69,11 @@
 
 /// A query to the coordinator of an upstream's limit.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ToLimitKeeper {
+pub struct ToLimitCoordinator {
     /// The coordinator's address.
     pub address: SocketAddr,
     /// The query.
-    pub question: LimitQuestion,
+    pub query: LimitQuery,
 }
 
 /// The decision about a request to an upstream.
@@ -84,7 +84,7 @@
     /// The request is granted and counted.
     Granted,
     /// The coordinator must grant the request first.
-    Ask(ToLimitKeeper),
+    Ask(ToLimitCoordinator),
     /// The request must not be sent.
     Refused(LimitRefusal),
 }
@@ -109,7 +109,7 @@
 
 /// The limit observed in a response of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct LimitAnswer<'a> {
+pub struct ObservedLimit<'a> {
     /// The upstream.
     pub incarnation: &'a UpstreamIncarnation,
     /// The upstream's zone.
@@ -134,7 +134,7 @@
     known: HashMap<UpstreamIncarnation, UpstreamLimit>,
     coordinated: LimitCoordinator,
     /// Outgoing messages.
-    outgoing: Vec<(SocketAddr, LimitNews)>,
+    outgoing: Vec<(SocketAddr, LimitUpdate)>,
 }
 
 impl UpstreamLimits {
@@ -191,37 +191,37 @@
         let Some(limit) = self.limit(incarnation) else {
             return LimitAdmission::Unlimited;
         };
-        let question = LimitQuestion {
+        let query = LimitQuery {
             id,
             incarnation: incarnation.clone(),
             limit,
         };
         match self.remote_coordinator(incarnation, zone) {
-            Some(address) => LimitAdmission::Ask(ToLimitKeeper { address, question }),
+            Some(address) => LimitAdmission::Ask(ToLimitCoordinator { address, query }),
             None if now < self.grew_at + SETTLE_MS => {
-                LimitAdmission::Refused(Self::unheard(random))
+                LimitAdmission::Refused(Self::no_reply_refusal(random))
             }
             None => {
-                let reply = self.coordinated.answer(&question, now);
-                Self::answered(Some(&reply), random)
+                let reply = self.coordinated.answer(&query, now);
+                Self::admission_from_reply(Some(&reply), random)
             }
         }
     }
 
     /// Converts the reply to a query into a decision; `None` if no reply arrived in time.
-    pub fn answered(reply: Option<&LimitWord>, random: f64) -> LimitAdmission {
+    pub fn admission_from_reply(reply: Option<&LimitReply>, random: f64) -> LimitAdmission {
         match reply {
             Some(reply) if reply.is_granted => LimitAdmission::Granted,
             Some(reply) => LimitAdmission::Refused(LimitRefusal {
                 hold_off_ms: with_jitter(reply.next_grant_in_ms, random),
                 retry_after_ms: with_jitter(reply.retry_after_ms, random),
             }),
-            None => LimitAdmission::Refused(Self::unheard(random)),
+            None => LimitAdmission::Refused(Self::no_reply_refusal(random)),
         }
     }
 
     /// Returns the refusal that follows when the coordinator doesn't reply.
-    pub fn unheard(random: f64) -> LimitRefusal {
+    pub fn no_reply_refusal(random: f64) -> LimitRefusal {
         LimitRefusal {
             hold_off_ms: with_jitter(NO_REPLY_HOLD_OFF_MS, random),
             retry_after_ms: with_jitter(NO_REPLY_HOLD_OFF_MS, random),
@@ -229,21 +229,25 @@
     }
 
     /// Handles a query of another box.
-    pub fn hear_question(&mut self, question: &LimitQuestion, now: Millis) -> LimitWord {
-        if self.limit(&question.incarnation).is_none() {
-            self.set_known(&question.incarnation, Some(question.limit));
+    pub fn handle_query(&mut self, query: &LimitQuery, now: Millis) -> LimitReply {
+        if self.limit(&query.incarnation).is_none() {
+            self.set_known(&query.incarnation, Some(query.limit));
         }
-        self.coordinated.answer(question, now)
+        self.coordinated.answer(query, now)
     }
 
     /// Handles a response of an upstream. Returns the change of the known limit, if any.
-    pub fn named(&mut self, answer: &LimitAnswer<'_>, now: Millis) -> Option<LimitChange> {
+    pub fn record_observed(
+        &mut self,
+        answer: &ObservedLimit<'_>,
+        now: Millis,
+    ) -> Option<LimitChange> {
         let may_be_outdated = answer.limit.is_none() && !answer.had_grant;
         let before = self.limit(answer.incarnation);
         if may_be_outdated || before == answer.limit {
             return None;
         }
-        let update = LimitNews {
+        let update = LimitUpdate {
             incarnation: answer.incarnation.clone(),
             limit: answer.limit,
             is_first: before.is_none(),
@@ -258,7 +262,7 @@
     }
 
     /// Handles an update from another box. Returns the change of the known limit, if any.
-    pub fn hear_news(&mut self, update: &LimitNews, now: Millis) -> Option<LimitChange> {
+    pub fn handle_update(&mut self, update: &LimitUpdate, now: Millis) -> Option<LimitChange> {
         let before = self.limit(&update.incarnation);
         if update.is_from_coordinator && update.limit.is_none() {
             self.coordinated.record(update, now);
@@ -271,7 +275,7 @@
     }
 
     /// Takes the outgoing messages.
-    pub fn take_news(&mut self) -> Vec<(SocketAddr, LimitNews)> {
+    pub fn take_updates(&mut self) -> Vec<(SocketAddr, LimitUpdate)> {
         std::mem::take(&mut self.outgoing)
     }
 
@@ -294,11 +298,11 @@
     }
 
     /// Handles an update as the limit's coordinator, and broadcasts it where necessary.
-    fn coordinate(&mut self, update: &LimitNews, now: Millis) {
+    fn coordinate(&mut self, update: &LimitUpdate, now: Millis) {
         if !self.coordinated.record(update, now) {
             return;
         }
-        let update = LimitNews {
+        let update = LimitUpdate {
             is_from_coordinator: true,
             ..update.clone()
         };
--- a/crates/routing/tests/quarantine.rs
+++ b/crates/routing/tests/quarantine.rs
@@ -2,8 +2,8 @@
 #![allow(clippy::unwrap_used)]
 
 use brasswinch_routing::{
-    BrokenRun, Quarantine, QuarantineBox, QuarantineChange, ReportError, RequestDigest,
-    RequestIdentity, RequestShape, RunReport, Suspect, ToldRun, UpstreamStart, Verdict,
+    CrashReport, Quarantine, QuarantineBox, QuarantineChange, ReportError, ReportedCrash,
+    RequestDigest, RequestIdentity, RequestShape, Suspect, UpstreamCrash, UpstreamStart, Verdict,
 };
 use brasswinch_types::{BoxId, Millis, Service, UpstreamId, Workspace};
 use std::net::SocketAddr;
@@ -33,8 +33,8 @@
     }
 }
 
-fn crash(upstream: &str, began: Millis, ended: Millis) -> BrokenRun {
-    BrokenRun {
+fn crash(upstream: &str, began: Millis, ended: Millis) -> UpstreamCrash {
+    UpstreamCrash {
         upstream: UpstreamId::new(upstream),
         started: None,
         began,
@@ -92,16 +92,16 @@
                 let number = usize::from(to.port() - 1_000);
                 if !unreachable.contains(&number) {
                     self.boxes[number]
-                        .hear(&report, address(from), now)
+                        .handle_report(&report, address(from), now)
                         .unwrap();
                 }
             }
         }
     }
 
-    fn broke(&mut self, at: usize, path: &str, crash: BrokenRun) {
+    fn record_crash(&mut self, at: usize, path: &str, crash: UpstreamCrash) {
         let now = crash.ended;
-        self.boxes[at].broke(digest(path), &suspect_of(path, None), crash, now);
+        self.boxes[at].record_crash(digest(path), &suspect_of(path, None), crash, now);
     }
 
     fn quarantined_count(&self, path: &str, now: Millis) -> usize {
@@ -110,7 +110,7 @@
             .iter()
             .map(|quarantine| quarantine.verdict(digest(path), now));
         verdicts
-            .filter(|verdict| matches!(verdict, Verdict::ShutOut { .. }))
+            .filter(|verdict| matches!(verdict, Verdict::Quarantined { .. }))
             .count()
     }
 }
@@ -121,7 +121,7 @@
     for number in 0..3 {
         let began = 1_000 + 200 * number as Millis;
         let upstream = format!("upstream-{number}");
-        fleet.broke(4 * number, "/a", crash(&upstream, began, began + 100));
+        fleet.record_crash(4 * number, "/a", crash(&upstream, began, began + 100));
         fleet.deliver_reports(&[], began + 101);
         let expected = if number == 2 { 12 } else { 0 };
         assert_eq!(fleet.quarantined_count("/a", began + 101), expected);
@@ -136,7 +136,7 @@
         for number in 0..3 {
             let began = 1_000 + 200 * number as Millis;
             let at = (unreachable + 1 + number) % 12;
-            fleet.broke(
+            fleet.record_crash(
                 at,
                 "/a",
                 crash(&format!("upstream-{number}"), began, began + 100),
@@ -166,7 +166,7 @@
     let mut fleet = Fleet::new(12);
     for number in 0..12 {
         let upstream = format!("upstream-{number}");
-        fleet.broke(
+        fleet.record_crash(
             number,
             "/popular",
             crash(&upstream, 1_000, 1_500 + number as Millis),
@@ -179,9 +179,9 @@
 #[test]
 fn an_answer_at_any_box_clears_a_suspected_request() {
     let mut fleet = Fleet::new(12);
-    fleet.broke(1, "/a", crash("upstream-1", 1_000, 1_100));
+    fleet.record_crash(1, "/a", crash("upstream-1", 1_000, 1_100));
     fleet.deliver_reports(&[], 1_101);
-    fleet.broke(2, "/a", crash("upstream-2", 1_200, 1_300));
+    fleet.record_crash(2, "/a", crash("upstream-2", 1_200, 1_300));
     fleet.deliver_reports(&[], 1_301);
     let suspected = fleet
         .boxes
@@ -193,9 +193,9 @@
             .count(),
         12
     );
-    fleet.boxes[7].answered(digest("/a"), 1_500);
+    fleet.boxes[7].record_answer(digest("/a"), 1_500);
     fleet.deliver_reports(&[], 1_501);
-    fleet.broke(3, "/a", crash("upstream-3", 1_600, 1_700));
+    fleet.record_crash(3, "/a", crash("upstream-3", 1_600, 1_700));
     fleet.deliver_reports(&[], 1_701);
     assert_eq!(fleet.quarantined_count("/a", 1_701), 0);
 }
@@ -204,14 +204,14 @@
 fn a_crash_is_counted_once() {
     let mut quarantine = single_box();
     for _ in 0..5 {
-        quarantine.broke(
+        quarantine.record_crash(
             digest("/a"),
             &suspect_of("/a", None),
             crash("one", 1_000, 1_100),
             1_100,
         );
     }
-    quarantine.broke(
+    quarantine.record_crash(
         digest("/a"),
         &suspect_of("/a", None),
         crash("two", 1_200, 1_300),
@@ -219,13 +219,13 @@
     );
     assert_eq!(quarantine.verdict(digest("/a"), 1_300), Verdict::Suspect);
     // After a restart it counts as another upstream.
-    let again = BrokenRun {
+    let again = UpstreamCrash {
         started: Some(UpstreamStart(7)),
         ..crash("one", 1_400, 1_500)
     };
-    quarantine.broke(digest("/a"), &suspect_of("/a", None), again, 1_500);
+    quarantine.record_crash(digest("/a"), &suspect_of("/a", None), again, 1_500);
     let verdict = quarantine.verdict(digest("/a"), 1_500);
-    assert!(matches!(verdict, Verdict::ShutOut { .. }));
+    assert!(matches!(verdict, Verdict::Quarantined { .. }));
 }
 
 #[test]
@@ -233,7 +233,7 @@
     let mut fleet = Fleet::new(6);
     for number in 0..3 {
         let began = 1_000 + 200 * number as Millis;
-        fleet.broke(
+        fleet.record_crash(
             number,
             "/a",
             crash(&format!("upstream-{number}"), began, began + 100),
@@ -265,9 +265,9 @@
     for number in 0..8 {
         now += 1_000;
         let crash = crash(&format!("upstream-{number}"), now - 500, now);
-        quarantine.broke(digest("/a"), &suspect, crash, now);
+        quarantine.record_crash(digest("/a"), &suspect, crash, now);
         match quarantine.verdict(digest("/a"), now) {
-            Verdict::ShutOut { for_ms } => {
+            Verdict::Quarantined { for_ms } => {
                 assert!(
                     for_ms >= last_for_ms && for_ms <= MAX_QUARANTINE_MS,
                     "{for_ms}"
@@ -281,11 +281,11 @@
         }
     }
     assert!(last_for_ms > 0);
-    let events = quarantine.take_news();
+    let events = quarantine.take_events();
     assert!(
         events
             .iter()
-            .any(|event| event.change == QuarantineChange::LetOut)
+            .any(|event| event.change == QuarantineChange::Released)
     );
     quarantine.tick(now + 2 * MAX_QUARANTINE_MS);
     assert_eq!(
@@ -304,16 +304,16 @@
             100 * number,
             100 * number + 50,
         );
-        quarantine.broke(digest("/theirs"), &other_suspect, crash, 100 * number + 50);
+        quarantine.record_crash(digest("/theirs"), &other_suspect, crash, 100 * number + 50);
     }
     for number in 0..20_000_u64 {
         let path = format!("/many/{number}");
         let now = 1_000 + number;
         let crash = crash(&format!("other-{number}"), now - 1, now);
-        quarantine.broke(digest(&path), &suspect_of(&path, Some("loud")), crash, now);
+        quarantine.record_crash(digest(&path), &suspect_of(&path, Some("loud")), crash, now);
     }
     let verdict = quarantine.verdict(digest("/theirs"), 21_000);
-    assert!(matches!(verdict, Verdict::ShutOut { .. }));
+    assert!(matches!(verdict, Verdict::Quarantined { .. }));
     let known = (0..20_000).filter(|number| {
         let digest = digest(&format!("/many/{number}"));
         quarantine.verdict(digest, 21_000) != Verdict::Unknown
@@ -348,16 +348,16 @@
 
 #[test]
 fn an_impossible_report_is_refused() {
-    let reported = |began_ago_ms, ended_ago_ms| ToldRun {
+    let reported = |began_ago_ms, ended_ago_ms| ReportedCrash {
         upstream: UpstreamId::new("upstream"),
         started: None,
         began_ago_ms,
         ended_ago_ms,
     };
-    let report = |runs, answered_ago_ms| RunReport {
+    let report = |crashes, answered_ago_ms| CrashReport {
         digest: digest("/a"),
         suspect: suspect_of("/a", None),
-        runs,
+        crashes,
         answered_ago_ms,
     };
     let century = 3_155_760_000_000;
@@ -382,9 +382,12 @@
     ];
     let mut quarantine = single_box();
     for (report, error) in refused {
-        assert_eq!(quarantine.hear(&report, address(9), 1_000), Err(error));
+        assert_eq!(
+            quarantine.handle_report(&report, address(9), 1_000),
+            Err(error)
+        );
     }
-    assert!(!quarantine.may_know(suspect_of("/a", None).shape));
+    assert!(!quarantine.may_have_record(suspect_of("/a", None).shape));
 }
 
 #[test]
@@ -394,7 +397,7 @@
         for number in 0..3 {
             let began = 1_000 + 200 * number as Millis;
             let at = (frozen + 1 + number) % 12;
-            fleet.broke(
+            fleet.record_crash(
                 at,
                 "/a",
                 crash(&format!("upstream-{number}"), began, began + 100),
@@ -404,8 +407,8 @@
         // Reports sent to it meanwhile are lost.
         fleet.deliver_reports(&[frozen], 5_000);
         let before = fleet.boxes[frozen].verdict(digest("/a"), 5_000);
-        assert!(!matches!(before, Verdict::ShutOut { .. }));
-        fleet.broke(frozen, "/a", crash("upstream-9", 5_000, 5_100));
+        assert!(!matches!(before, Verdict::Quarantined { .. }));
+        fleet.record_crash(frozen, "/a", crash("upstream-9", 5_000, 5_100));
         fleet.deliver_reports(&[], 5_130);
         assert_eq!(fleet.quarantined_count("/a", 5_130), 12, "box {frozen}");
     }
@@ -416,7 +419,7 @@
     let mut fleet = Fleet::new(6);
     for number in 0..3 {
         let began = 1_000 + 200 * number as Millis;
-        fleet.broke(
+        fleet.record_crash(
             0,
             "/a",
             crash(&format!("upstream-{number}"), began, began + 100),
@@ -433,7 +436,7 @@
             .all(|(_, for_ms)| *for_ms > 0 && *for_ms <= MAX_QUARANTINE_MS)
     );
     let mut started = Fleet::new(6);
-    started.boxes[3].confirmed(&kept[0].0, 1_000).unwrap();
+    started.boxes[3].merge_stored(&kept[0].0, 1_000).unwrap();
     started.deliver_reports(&[], 1_000);
     assert_eq!(started.quarantined_count("/a", 1_000), 6);
 }
--- a/crates/routing/tests/quota_loans.rs
+++ b/crates/routing/tests/quota_loans.rs
@@ -2,8 +2,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
-    Admission, KnownSize, QuotaBounds, QuotaBox, QuotaCount, QuotaLimit, QuotaLoan, QuotaWord,
-    Quotas, ToKeeper,
+    Admission, KnownSize, QuotaBounds, QuotaBox, QuotaCount, QuotaLimit, QuotaLoan, QuotaReply,
+    Quotas, ToCoordinator,
 };
 use brasswinch_types::{BoxId, Workspace};
 use std::net::SocketAddr;
@@ -54,15 +54,15 @@
 }
 
 /// Returns the request for a grant that the next request causes.
-fn ask(quotas: &mut Quotas, now: u64) -> ToKeeper {
+fn ask(quotas: &mut Quotas, now: u64) -> ToCoordinator {
     match quotas.admit(&workspace(), LIMIT, now, 0.5, now) {
         Admission::Ask(ask) => ask,
         other => panic!("{other:?}"),
     }
 }
 
-fn reply(id: u64, stamp: u64) -> QuotaWord {
-    QuotaWord {
+fn reply(id: u64, stamp: u64) -> QuotaReply {
+    QuotaReply {
         id,
         workspace: workspace(),
         is_granted: true,
@@ -90,7 +90,7 @@
     let (mut quotas, coordinator) = box_and_coordinator();
     let first = ask(&mut quotas, SETTLED_AT_MS);
     assert_eq!(first.count.loan, None, "no reply of the coordinator yet");
-    quotas.answered(
+    quotas.handle_grant_reply(
         &reply(first.count.id, 70),
         coordinator,
         0.5,
@@ -112,12 +112,12 @@
     let next = quotas.coordinator(&workspace()).unwrap().address;
     for now in [SETTLED_AT_MS + 40, SETTLED_AT_MS + 700] {
         let id = ask(&mut quotas, now).count.id;
-        quotas.answered(&reply(id, 900), next, 0.5, now + 10);
+        quotas.handle_grant_reply(&reply(id, 900), next, 0.5, now + 10);
         assert_eq!(ask(&mut quotas, now + 20).count.loan, None, "{now}");
     }
     // The lease of the first coordinator has expired.
     let id = ask(&mut quotas, SETTLED_AT_MS + 810).count.id;
-    quotas.answered(&reply(id, 1_600), next, 0.5, SETTLED_AT_MS + 820);
+    quotas.handle_grant_reply(&reply(id, 1_600), next, 0.5, SETTLED_AT_MS + 820);
     let loan = ask(&mut quotas, SETTLED_AT_MS + 830).count.loan.unwrap();
     assert_eq!(
         loan,
@@ -134,27 +134,27 @@
 fn a_box_does_not_use_its_share_while_it_is_lent() {
     let (mut quotas, coordinator) = box_and_coordinator();
     let first = ask(&mut quotas, SETTLED_AT_MS);
-    quotas.answered(
+    quotas.handle_grant_reply(
         &reply(first.count.id, 70),
         coordinator,
         0.5,
         SETTLED_AT_MS + 10,
     );
     let asked = ask(&mut quotas, SETTLED_AT_MS + 20);
-    let again = quotas.unanswered(asked, LIMIT, false, SETTLED_AT_MS + 80);
+    let again = quotas.handle_timeout(asked, LIMIT, false, SETTLED_AT_MS + 80);
     let Admission::Ask(asked) = again else {
         panic!("{again:?}");
     };
-    let refused = quotas.unanswered(asked.clone(), LIMIT, true, SETTLED_AT_MS + 140);
+    let refused = quotas.handle_timeout(asked.clone(), LIMIT, true, SETTLED_AT_MS + 140);
     assert!(matches!(refused, Admission::Refuse { retry_after_ms } if retry_after_ms >= 670));
-    let alone = quotas.unanswered(asked, LIMIT, true, SETTLED_AT_MS + 811);
+    let alone = quotas.handle_timeout(asked, LIMIT, true, SETTLED_AT_MS + 811);
     assert_eq!(alone, Admission::Send(None));
 }
 
 /// Returns how many requests of one box the coordinator grants in the second from `from`.
 fn granted(coordinator: &mut Quotas, from: u64) -> usize {
     let mut ask = |now: u64| {
-        let reply = coordinator.hear_count(&count(now, true, None), address(1), LIMIT, now);
+        let reply = coordinator.handle_count(&count(now, true, None), address(1), LIMIT, now);
         reply.is_some_and(|reply| reply.is_granted)
     };
     (from..from + 1_000)
@@ -190,14 +190,14 @@
     ];
     for (place, loan) in bad.into_iter().enumerate() {
         let lender = address(20 + place as u16);
-        coordinator.hear_count(&count(0, false, Some(loan)), lender, LIMIT, began);
+        coordinator.handle_count(&count(0, false, Some(loan)), lender, LIMIT, began);
     }
     assert_eq!(granted(&mut coordinator, began), 0);
     let good = QuotaLoan {
         stamp: began + 1_000,
         boxes: 2,
     };
-    coordinator.hear_count(
+    coordinator.handle_count(
         &count(0, false, Some(good)),
         address(40),
         LIMIT,
@@ -217,11 +217,11 @@
     let (mut quotas, coordinator) = box_and_coordinator();
     for now in [700, 790] {
         let id = ask(&mut quotas, now).count.id;
-        quotas.answered(&reply(id, 70), coordinator, 0.5, now + 1);
+        quotas.handle_grant_reply(&reply(id, 70), coordinator, 0.5, now + 1);
         assert_eq!(ask(&mut quotas, now + 2).count.loan, None, "{now}");
     }
     let id = ask(&mut quotas, 810).count.id;
-    quotas.answered(&reply(id, 80), coordinator, 0.5, 811);
+    quotas.handle_grant_reply(&reply(id, 80), coordinator, 0.5, 811);
     assert!(ask(&mut quotas, 812).count.loan.is_some());
 }
 
@@ -232,7 +232,7 @@
     let (mut quotas, coordinator) = box_and_coordinator();
     quotas.set_fleet_size(KnownSize::Awaited);
     let asked = ask(&mut quotas, SETTLED_AT_MS);
-    let reply = QuotaWord {
+    let reply = QuotaReply {
         id: asked.count.id,
         workspace: workspace(),
         is_granted: true,
@@ -240,10 +240,10 @@
         retry_after_ms: 0,
         stamp: SETTLED_AT_MS,
     };
-    quotas.answered(&reply, coordinator, 0.5, SETTLED_AT_MS + 20);
+    quotas.handle_grant_reply(&reply, coordinator, 0.5, SETTLED_AT_MS + 20);
     assert_eq!(ask(&mut quotas, SETTLED_AT_MS + 30).count.loan, None);
     let count = asked.count;
-    let reply = quotas.hear_count(&count, address(9), LIMIT, SETTLED_AT_MS + 40);
+    let reply = quotas.handle_count(&count, address(9), LIMIT, SETTLED_AT_MS + 40);
     assert_eq!(reply, None, "it doesn't act as the coordinator");
     quotas.set_fleet_size(KnownSize::Told(40));
     let loan = ask(&mut quotas, SETTLED_AT_MS + 50).count.loan.unwrap();
--- a/crates/routing/tests/quotas.rs
+++ b/crates/routing/tests/quotas.rs
@@ -6,7 +6,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
-    Admission, QuotaBounds, QuotaBox, QuotaCount, QuotaLimit, QuotaWord, Quotas, ToKeeper,
+    Admission, QuotaBounds, QuotaBox, QuotaCount, QuotaLimit, QuotaReply, Quotas, ToCoordinator,
 };
 use brasswinch_types::{BoxId, Workspace};
 use rand::rngs::StdRng;
@@ -112,12 +112,12 @@
 
 enum Message {
     Count(QuotaCount),
-    Reply(QuotaWord),
+    Reply(QuotaReply),
 }
 
 /// A request that waits for a grant.
 struct PendingGrant {
-    question: ToKeeper,
+    question: ToCoordinator,
     /// When the wait ends.
     until: u64,
     /// Whether this is the last attempt.
@@ -290,7 +290,7 @@
                     let reply =
                         self.boxes[to]
                             .quotas
-                            .hear_count(&count, address(from), self.limit, now);
+                            .handle_count(&count, address(from), self.limit, now);
                     if let Some(reply) = reply {
                         self.send(to, from, Message::Reply(reply));
                     }
@@ -300,7 +300,7 @@
         }
     }
 
-    fn handle_reply(&mut self, index: usize, from: usize, reply: &QuotaWord) {
+    fn handle_reply(&mut self, index: usize, from: usize, reply: &QuotaReply) {
         let model_box = &mut self.boxes[index];
         let pending = model_box
             .pending
@@ -310,14 +310,15 @@
             Some(place) => {
                 model_box.pending.remove(place);
                 let random = self.random.random();
-                let admission = model_box
-                    .quotas
-                    .answered(reply, address(from), random, self.now);
+                let admission =
+                    model_box
+                        .quotas
+                        .handle_grant_reply(reply, address(from), random, self.now);
                 self.apply(index, admission, false);
             }
             None => {
                 let quotas = &mut model_box.quotas;
-                let outgoing = quotas.hear_word(reply, address(from), self.limit, self.now);
+                let outgoing = quotas.handle_reply(reply, address(from), self.limit, self.now);
                 self.send_count(index, outgoing);
             }
         }
@@ -339,7 +340,7 @@
                 let admission =
                     model_box
                         .quotas
-                        .unanswered(pending.question, limit, is_last, self.now);
+                        .handle_timeout(pending.question, limit, is_last, self.now);
                 self.apply(index, admission, true);
             }
         }
@@ -396,15 +397,15 @@
         }
     }
 
-    fn send_count(&mut self, from: usize, outgoing: Option<ToKeeper>) {
-        if let Some(ToKeeper { address, count }) = outgoing {
+    fn send_count(&mut self, from: usize, outgoing: Option<ToCoordinator>) {
+        if let Some(ToCoordinator { address, count }) = outgoing {
             let to = usize::from(address.port()) - 1_000;
             self.send(from, to, Message::Count(count));
         }
     }
 
     fn send_broadcasts(&mut self, index: usize) {
-        let words = self.boxes[index].quotas.take_words_for_all();
+        let words = self.boxes[index].quotas.take_broadcasts();
         let others: Vec<SocketAddr> = self.boxes[index].quotas.others().collect();
         for reply in words {
             for other in &others {
--- a/crates/routing/tests/quotas_in_cuts.rs
+++ b/crates/routing/tests/quotas_in_cuts.rs
@@ -4,8 +4,8 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
-    Admission, FleetSize, QuotaBounds, QuotaBox, QuotaCount, QuotaLimit, QuotaWord, Quotas,
-    ToKeeper,
+    Admission, FleetSize, QuotaBounds, QuotaBox, QuotaCount, QuotaLimit, QuotaReply, Quotas,
+    ToCoordinator,
 };
 use brasswinch_types::{BoxId, Workspace};
 use rand::rngs::StdRng;
@@ -61,11 +61,11 @@
 
 enum Message {
     Count(QuotaCount),
-    Reply(QuotaWord),
+    Reply(QuotaReply),
 }
 
 struct PendingGrant {
-    question: ToKeeper,
+    question: ToCoordinator,
     until: u64,
     is_last: bool,
 }
@@ -222,28 +222,28 @@
         let due = self.in_flight.extract_if(.., |message| message.0 <= now);
         for (_, to, from, message) in due.collect::<Vec<_>>() {
             match message {
-                Message::Count(count) => self.hear_count(to, from, &count),
-                Message::Reply(reply) => self.hear_word(to, from, &reply),
+                Message::Count(count) => self.handle_count(to, from, &count),
+                Message::Reply(reply) => self.handle_reply(to, from, &reply),
             }
         }
     }
 
-    fn hear_count(&mut self, index: usize, from: usize, count: &QuotaCount) {
+    fn handle_count(&mut self, index: usize, from: usize, count: &QuotaCount) {
         let quotas = &mut self.boxes[index].quotas;
-        let reply = quotas.hear_count(count, address(from), LIMIT, self.now);
+        let reply = quotas.handle_count(count, address(from), LIMIT, self.now);
         if let Some(reply) = reply.filter(|_| count.id != 0) {
             self.send(index, from, Message::Reply(reply));
         }
     }
 
-    fn hear_word(&mut self, index: usize, from: usize, reply: &QuotaWord) {
+    fn handle_reply(&mut self, index: usize, from: usize, reply: &QuotaReply) {
         let model_box = &mut self.boxes[index];
         let mut pending = model_box.pending.iter();
         let place = pending.position(|pending| pending.question.count.id == reply.id);
         let Some(place) = place else {
             let outgoing = model_box
                 .quotas
-                .hear_word(reply, address(from), LIMIT, self.now);
+                .handle_reply(reply, address(from), LIMIT, self.now);
             self.send_count(index, outgoing);
             return;
         };
@@ -251,7 +251,7 @@
         let random = self.random.random();
         let admission = model_box
             .quotas
-            .answered(reply, address(from), random, self.now);
+            .handle_grant_reply(reply, address(from), random, self.now);
         self.apply(index, admission, true);
     }
 
@@ -264,7 +264,8 @@
                 .extract_if(.., |pending| pending.until <= now);
             for pending in over.collect::<Vec<_>>() {
                 let quotas = &mut self.boxes[index].quotas;
-                let admission = quotas.unanswered(pending.question, LIMIT, pending.is_last, now);
+                let admission =
+                    quotas.handle_timeout(pending.question, LIMIT, pending.is_last, now);
                 self.apply(index, admission, true);
             }
         }
@@ -309,14 +310,14 @@
         }
     }
 
-    fn send_count(&mut self, from: usize, outgoing: Option<ToKeeper>) {
-        if let Some(ToKeeper { address, count }) = outgoing {
+    fn send_count(&mut self, from: usize, outgoing: Option<ToCoordinator>) {
+        if let Some(ToCoordinator { address, count }) = outgoing {
             self.send(from, index_of(address), Message::Count(count));
         }
     }
 
     fn send_broadcasts(&mut self, index: usize) {
-        let words = self.boxes[index].quotas.take_words_for_all();
+        let words = self.boxes[index].quotas.take_broadcasts();
         let others: Vec<SocketAddr> = self.boxes[index].quotas.others().collect();
         for reply in words {
             for other in &others {
--- a/crates/routing/tests/upstream_limits.rs
+++ b/crates/routing/tests/upstream_limits.rs
@@ -8,7 +8,7 @@
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_routing::{
-    LimitAdmission, LimitAnswer, LimitBox, LimitNews, LimitQuestion, LimitWord,
+    LimitAdmission, LimitBox, LimitQuery, LimitReply, LimitUpdate, ObservedLimit,
     UpstreamIncarnation, UpstreamLimit, UpstreamLimits, UpstreamStart,
 };
 use brasswinch_types::{BoxId, Millis, Region, UpstreamId, Zone};
@@ -88,11 +88,11 @@
     Query {
         to: usize,
         from: usize,
-        question: LimitQuestion,
+        query: LimitQuery,
     },
     Reply {
         to: usize,
-        reply: LimitWord,
+        reply: LimitReply,
     },
     ReplyTimeout {
         at_box: usize,
@@ -100,7 +100,7 @@
     },
     Update {
         to: usize,
-        update: LimitNews,
+        update: LimitUpdate,
     },
     Reaches {
         from: usize,
@@ -328,13 +328,13 @@
             model_box.is_up && model_box.serves && self.now >= model_box.frozen_until
         });
         probe.set_boxes(serving.map(limit_box).collect(), 0);
-        let update = LimitNews {
+        let update = LimitUpdate {
             incarnation: incarnation(),
             limit: UpstreamLimit::try_from(1.0).ok(),
             is_first: true,
             is_from_coordinator: true,
         };
-        probe.hear_news(&update, 1);
+        probe.handle_update(&update, 1);
         match probe.admit(&incarnation(), &Zone::new(HOME_ZONE), 1, 0.5, 1) {
             LimitAdmission::Ask(asked) => place_of(asked.address),
             other => panic!("no coordinator to ask: {other:?}"),
@@ -476,8 +476,8 @@
                 self.next_arrival(at_box);
                 self.arrive(at_box);
             }
-            Event::Query { from, question, .. } => {
-                let reply = self.boxes[at_box].limits.hear_question(&question, now);
+            Event::Query { from, query, .. } => {
+                let reply = self.boxes[at_box].limits.handle_query(&query, now);
                 if reply.is_granted {
                     self.granted.push(now);
                 }
@@ -486,17 +486,20 @@
             Event::Reply { reply, .. } => {
                 if self.take_pending(at_box, reply.id) {
                     let random = self.random.random();
-                    self.decide(at_box, UpstreamLimits::answered(Some(&reply), random));
+                    self.decide(
+                        at_box,
+                        UpstreamLimits::admission_from_reply(Some(&reply), random),
+                    );
                 }
             }
             Event::ReplyTimeout { id, .. } => {
                 if self.take_pending(at_box, id) {
                     let random = self.random.random();
-                    self.decide(at_box, UpstreamLimits::answered(None, random));
+                    self.decide(at_box, UpstreamLimits::admission_from_reply(None, random));
                 }
             }
             Event::Update { update, .. } => {
-                self.boxes[at_box].limits.hear_news(&update, now);
+                self.boxes[at_box].limits.handle_update(&update, now);
                 self.send_updates(at_box);
             }
             Event::Answers {
@@ -506,13 +509,13 @@
                     self.boxes[at_box].learned_at.get_or_insert(now);
                 }
                 let (incarnation, zone) = (incarnation(), Zone::new(HOME_ZONE));
-                let answer = LimitAnswer {
+                let answer = ObservedLimit {
                     incarnation: &incarnation,
                     zone: &zone,
                     limit,
                     had_grant,
                 };
-                self.boxes[at_box].limits.named(&answer, now);
+                self.boxes[at_box].limits.record_observed(&answer, now);
                 self.send_updates(at_box);
             }
             Event::UpdateMembership { .. } => self.update_membership(at_box),
@@ -529,7 +532,7 @@
     }
 
     fn send_updates(&mut self, from: usize) {
-        for (to, update) in self.boxes[from].limits.take_news() {
+        for (to, update) in self.boxes[from].limits.take_updates() {
             let to = place_of(to);
             self.send(from, to, Event::Update { to, update });
         }
@@ -552,14 +555,14 @@
         };
         self.boxes[at_box].pending.push(id);
         let to = place_of(asked.address);
-        let question = asked.question;
+        let query = asked.query;
         self.send(
             at_box,
             to,
             Event::Query {
                 to,
                 from: at_box,
-                question,
+                query,
             },
         );
         self.schedule(now + REPLY_TIMEOUT_MS, Event::ReplyTimeout { at_box, id });
@@ -711,16 +714,16 @@
     limits: &mut UpstreamLimits,
     limit: Option<UpstreamLimit>,
     had_grant: bool,
-) -> Vec<(usize, LimitNews)> {
+) -> Vec<(usize, LimitUpdate)> {
     let (incarnation, zone) = (incarnation(), Zone::new(HOME_ZONE));
-    let answer = LimitAnswer {
+    let answer = ObservedLimit {
         incarnation: &incarnation,
         zone: &zone,
         limit,
         had_grant,
     };
-    limits.named(&answer, 1);
-    let updates = limits.take_news().into_iter();
+    limits.record_observed(&answer, 1);
+    let updates = limits.take_updates().into_iter();
     updates.map(|(to, update)| (place_of(to), update)).collect()
 }
 
@@ -731,16 +734,16 @@
         let messages = observe(&mut first, declared, true);
         assert_eq!(messages.len(), 1);
         assert_eq!(messages[0].0, 1, "the update goes to the coordinator");
-        coordinator.hear_news(&messages[0].1, 2);
-        let messages: Vec<(SocketAddr, LimitNews)> = coordinator.take_news();
+        coordinator.handle_update(&messages[0].1, 2);
+        let messages: Vec<(SocketAddr, LimitUpdate)> = coordinator.take_updates();
         let to: Vec<usize> = messages.iter().map(|(to, _)| place_of(*to)).collect();
         assert_eq!(to, [0, 2]);
-        other.hear_news(&messages[1].1, 3);
+        other.handle_update(&messages[1].1, 3);
         for limits in [&first, &coordinator, &other] {
             assert_eq!(limits.limit(&incarnation()), declared);
         }
         assert!(
-            other.take_news().is_empty(),
+            other.take_updates().is_empty(),
             "a box that receives a broadcast sends nothing"
         );
     }
@@ -769,12 +772,13 @@
         let LimitAdmission::Ask(asked) = missed.admit(&incarnation(), &zone, step, 0.5, now) else {
             panic!("a box that knows of a limit asks the coordinator");
         };
-        let reply = coordinator.hear_question(&asked.question, now);
-        (UpstreamLimits::answered(Some(&reply), 0.5) == LimitAdmission::Granted).then_some(now)
+        let reply = coordinator.handle_query(&asked.query, now);
+        (UpstreamLimits::admission_from_reply(Some(&reply), 0.5) == LimitAdmission::Granted)
+            .then_some(now)
     });
     assert!(granted.is_some());
     let messages = observe(&mut missed, None, true);
-    coordinator.hear_news(&messages[0].1, 5_000);
+    coordinator.handle_update(&messages[0].1, 5_000);
     assert_eq!(missed.limit(&incarnation()), None);
     assert_eq!(coordinator.limit(&incarnation()), None);
 }
