--- a/crates/edge/src/catch_up.rs
+++ b/crates/edge/src/catch_up.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::relay::{self, Answered, RelayError};
 use brasswinch_observe::{Event, emit};
-use brasswinch_routing::{Candidate, Distance, Liveness, Member, NewsSources, Revision, Scope};
+use brasswinch_routing::{Candidate, Distance, Liveness, Member, PeerSelector, Revision, Scope};
 use std::net::SocketAddr;
 use std::pin::pin;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 /// Requests updates whenever another box reports a newer revision of `scope`. Each scope has
 /// its own task: leaving upstreams must not wait for a large configuration.
 pub(crate) async fn catch_up(context: Arc<Context>, scope: Scope) {
-    let mut sources = NewsSources::default();
+    let mut sources = PeerSelector::default();
     loop {
         context.peer_updates.notified(scope).await;
         if peers_ahead(&context, scope).is_empty() {
@@ -43,7 +43,7 @@
     context: &Context,
     scope: Scope,
     first: Candidate,
-    sources: &mut NewsSources,
+    sources: &mut PeerSelector,
 ) {
     let (source, reply) = request_with_hedge(context, scope, first, sources).await;
     match reply {
@@ -51,9 +51,9 @@
         Err(error) => emit(Event::PeerDown, format_args!("{}: {error}", source.peer)),
     }
     if context.fleet().newest(scope) >= Some(source.revision) {
-        sources.helped(source.peer);
+        sources.record_success(source.peer);
     } else {
-        sources.failed(source.peer, context.clock.now());
+        sources.record_failure(source.peer, context.clock.now());
         sleep(PAUSE).await;
     }
 }
@@ -64,14 +64,14 @@
     context: &Context,
     scope: Scope,
     first: Candidate,
-    sources: &mut NewsSources,
+    sources: &mut PeerSelector,
 ) -> (Candidate, Result<Answered, RelayError>) {
     let mut first_request = pin!(relay::ask(context, first.peer, scope));
     if let Ok(reply) = timeout(HEDGE_DELAY, &mut first_request).await {
         return (first, reply);
     }
     let now = context.clock.now();
-    sources.failed(first.peer, now);
+    sources.record_failure(first.peer, now);
     let mut others = peers_ahead(context, scope);
     others.retain(|other| other.peer != first.peer);
     let Some(second) = sources.choose(&others, rand::random(), now) else {
@@ -112,7 +112,7 @@
         let fleet = context.fleet();
         (
             fleet.newest(scope).unwrap_or_default(),
-            fleet.awaited(scope).unwrap_or_default(),
+            fleet.pending_revision(scope).unwrap_or_default(),
         )
     };
     let mut peers_ahead = peers_beyond(context, scope, mine);
@@ -124,7 +124,7 @@
 
 fn peers_beyond(context: &Context, scope: Scope, mine: Revision) -> Vec<Candidate> {
     let swim = context.swim();
-    if swim.newest_heard(scope) <= mine {
+    if swim.newest_reported(scope) <= mine {
         return Vec::new();
     }
     swim.members()
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -316,7 +316,7 @@
                 ),
             );
             self.has_updates.notify_one();
-            if self.duty() != StoreDuty::Hears {
+            if self.duty() != StoreDuty::Listen {
                 self.report_to_zone();
             }
         }
@@ -335,7 +335,7 @@
         let mut ids = Vec::new();
         let mut coordinators = Vec::new();
         let region = self.settings.region();
-        for record in swim.heard_boxes() {
+        for record in swim.alive_boxes() {
             if let Some(region) = self.settings.zones.get(&record.zone) {
                 demand.add(region, record.requests_per_s);
             }
--- a/crates/edge/src/fleet_size.rs
+++ b/crates/edge/src/fleet_size.rs
@@ -45,8 +45,7 @@
     }
     loop {
         sleep(REVIEW_INTERVAL).await;
-        if context.duty() != StoreDuty::Confirms
-            || lock(&context.fleet_size.size).to_record().is_none()
+        if context.duty() != StoreDuty::Lead || lock(&context.fleet_size.size).to_store().is_none()
         {
             continue;
         }
@@ -64,7 +63,7 @@
         .count(StoreCall::FleetSize, CallReason::SharedRates);
     match store.fleet_size().await {
         Ok(recorded) => {
-            lock(&context.fleet_size.size).recorded(recorded.unwrap_or(0));
+            lock(&context.fleet_size.size).set_stored(recorded.unwrap_or(0));
             context.publish_members();
             true
         }
@@ -77,7 +76,7 @@
 }
 
 async fn write<S: FleetSizeStore>(context: &Context, store: &S) {
-    let Some(boxes) = lock(&context.fleet_size.size).to_record() else {
+    let Some(boxes) = lock(&context.fleet_size.size).to_store() else {
         return;
     };
     context
@@ -85,7 +84,7 @@
         .count(StoreCall::SetFleetSize, CallReason::SharedRates);
     match store.set_fleet_size(boxes).await {
         Ok(()) => {
-            lock(&context.fleet_size.size).recorded(boxes);
+            lock(&context.fleet_size.size).set_stored(boxes);
             context.publish_members();
         }
         // The next check retries the write.
@@ -110,16 +109,16 @@
     pub(crate) fn publish_fleet_size(&self) {
         let now = self.clock.now();
         let mut swim = self.swim();
-        let reachable = swim.heard_boxes().count();
+        let reachable = swim.alive_boxes().count();
         let sizes = swim
-            .heard_boxes()
+            .alive_boxes()
             .filter(|record| record.id != self.settings.id);
         let reported = sizes.map(|record| record.fleet_size).max().unwrap_or(0);
         let mut size = lock(&self.fleet_size.size);
-        size.hear(reachable, reported, now);
-        let (known, to_tell) = (size.known(now), size.to_tell());
+        size.observe(reachable, reported, now);
+        let (known, to_report) = (size.known(now), size.to_report());
         drop(size);
-        let has_changed = swim.set_fleet_size(to_tell);
+        let has_changed = swim.set_fleet_size(to_report);
         drop(swim);
         if has_changed {
             self.has_updates.notify_one();
@@ -133,14 +132,14 @@
             return;
         }
         match known {
-            KnownSize::Awaited => {}
-            KnownSize::Told(boxes) => {
+            KnownSize::Pending => {}
+            KnownSize::Reported(boxes) => {
                 emit(
                     Event::FleetSize,
                     format_args!("boxes={boxes} heard={reachable}"),
                 );
             }
-            KnownSize::Heard => emit(Event::FleetSizeUnknown, format_args!("heard={reachable}")),
+            KnownSize::Observed => emit(Event::FleetSizeUnknown, format_args!("heard={reachable}")),
         }
     }
 }
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -66,7 +66,7 @@
         } else {
             RETRY_WATCH_WAIT
         };
-        let after = context.fleet().asked_to(scope);
+        let after = context.fleet().resume_after(scope);
         let fetched = match after.filter(|_| !is_behind) {
             None => list(&context, &*store, scope, CallReason::Follow).await,
             Some(after) => {
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -54,7 +54,7 @@
                 // heartbeats anyway.
                 Err(_) => Vec::new(),
             },
-            () = context.has_updates.notified() => context.swim().hints(&mut rand::rng()),
+            () = context.has_updates.notified() => context.swim().announce_update(&mut rand::rng()),
             () = context.view_reports.wake.notified() => Vec::new(),
         };
         send(&socket, out).await;
@@ -88,7 +88,7 @@
 
 /// Announces to some members that this box leaves.
 pub(crate) async fn announce_leave(context: &Context, socket: &UdpSocket) {
-    let out = context.swim().farewell(&mut rand::rng());
+    let out = context.swim().announce_leave(&mut rand::rng());
     send(socket, out).await;
 }
 
--- a/crates/edge/src/health.rs
+++ b/crates/edge/src/health.rs
@@ -83,9 +83,9 @@
         // Before the first confirmed view, the store has not responded since the start.
         let age_ms = context.view_age_ms(Scope::Upstreams);
         let age_ms = age_ms.unwrap_or_else(|| context.clock.now().saturating_sub(serves_from));
-        let silent_ms = context.view_limits.silent_ms();
-        if age_ms < silent_ms {
-            sleep(Duration::from_millis(silent_ms - age_ms)).await;
+        let unreachable_ms = context.view_limits.unreachable_ms();
+        if age_ms < unreachable_ms {
+            sleep(Duration::from_millis(unreachable_ms - age_ms)).await;
             continue;
         }
         probe_all(&context).await;
--- a/crates/edge/src/quotas.rs
+++ b/crates/edge/src/quotas.rs
@@ -221,7 +221,7 @@
     pub(crate) fn set_quota_boxes(&self) {
         let swim = self.swim();
         let boxes = swim.serving_boxes().map(quota_box).collect();
-        let count = swim.heard_boxes().count();
+        let count = swim.alive_boxes().count();
         drop(swim);
         let now = self.clock.now();
         let mut quotas = self.quotas.quotas();
--- a/crates/edge/src/refresh.rs
+++ b/crates/edge/src/refresh.rs
@@ -35,7 +35,7 @@
             sleep(POLL_INTERVAL).await;
             continue;
         }
-        if context.duty() != StoreDuty::Confirms {
+        if context.duty() != StoreDuty::Lead {
             emit(
                 Event::ViewOld,
                 format_args!("scope={scope:?} age_ms={age_ms}"),
@@ -55,7 +55,7 @@
                     emit(Event::StoreUnreachable, format_args!("{scope:?}: {error}"));
                 }
                 context.handle_store_failure(&error);
-                if context.duty() != StoreDuty::Hears {
+                if context.duty() != StoreDuty::Listen {
                     context.report_store_failure();
                 }
                 sleep(backoff.mul_f64(0.5 + rand::random::<f64>())).await;
@@ -86,7 +86,7 @@
     store: &S,
     scope: Scope,
 ) -> Result<(), StoreFailure> {
-    let after = context.fleet().asked_to(scope);
+    let after = context.fleet().resume_after(scope);
     let answered = match after {
         Some(after) => {
             let call = WatchCall {
--- a/crates/edge/src/registry.rs
+++ b/crates/edge/src/registry.rs
@@ -68,7 +68,7 @@
 /// Returns whether the box keeps a store duty for `DUTY_CHECKS` checks.
 async fn has_duty(context: &Context) -> bool {
     for _ in 0..DUTY_CHECKS {
-        if context.duty() == StoreDuty::Hears {
+        if context.duty() == StoreDuty::Listen {
             sleep(with_jitter(DUTY_POLL_INTERVAL)).await;
             return false;
         }
@@ -115,7 +115,7 @@
             let addresses = registrations
                 .iter()
                 .map(|registration| registration.peer_address);
-            let discovered = context.swim().introduce(addresses);
+            let discovered = context.swim().set_contacts(addresses);
             if discovered > 0 {
                 emit(Event::StrangersFound, format_args!("boxes={discovered}"));
             }
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -9,7 +9,7 @@
 mod transfer;
 
 use crate::context::Context;
-use brasswinch_routing::{CatchUp, ConfigMark, Revision, Scope};
+use brasswinch_routing::{CatchUp, ConfigFingerprint, Revision, Scope};
 use replies::ReplyCache;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -46,7 +46,7 @@
     scope: Scope,
     after: Option<Revision>,
     /// The configuration that the requesting box has.
-    config: Option<ConfigMark>,
+    config: Option<ConfigFingerprint>,
 }
 
 /// The reply to a request for changes.
@@ -147,7 +147,9 @@
     ChangesRequest {
         scope,
         after: fleet.newest(scope),
-        config: fleet.config_mark().filter(|_| scope == Scope::Operator),
+        config: fleet
+            .config_fingerprint()
+            .filter(|_| scope == Scope::Operator),
     }
 }
 
--- a/crates/edge/src/request.rs
+++ b/crates/edge/src/request.rs
@@ -3,7 +3,7 @@
 use crate::clock::{Clock, Deadline};
 use crate::credentials::presented_key;
 use crate::dialect::Dialect;
-use brasswinch_routing::LONGEST_TIME_S;
+use brasswinch_routing::MAX_TIME_S;
 use brasswinch_types::ErrorKind;
 use http::request::Parts;
 use http::{HeaderMap, HeaderName, header};
@@ -80,7 +80,7 @@
     if !millis.is_finite() {
         return Err(ErrorKind::MalformedRequest);
     }
-    let seconds = (millis / 1_000.0).clamp(0.0, LONGEST_TIME_S);
+    let seconds = (millis / 1_000.0).clamp(0.0, MAX_TIME_S);
     Ok(Some(Duration::from_secs_f64(seconds)))
 }
 
--- a/crates/edge/src/start.rs
+++ b/crates/edge/src/start.rs
@@ -231,7 +231,7 @@
         let has_peers = context.swim().members().next().is_some();
         if is_known && (has_peers || began.elapsed() >= MAX_DISCOVERY_WAIT) {
             let known_at = known_at.get_or_insert_with(Instant::now);
-            if context.known_fleet_size() != KnownSize::Awaited
+            if context.known_fleet_size() != KnownSize::Pending
                 || known_at.elapsed() >= MAX_FLEET_SIZE_WAIT
             {
                 break;
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -115,7 +115,7 @@
             scope,
             revision: fleet.newest(scope).map(|revision| revision.0),
             age_ms,
-            pending_revision: fleet.awaited(scope).map(|revision| revision.0),
+            pending_revision: fleet.pending_revision(scope).map(|revision| revision.0),
         }
     }
 
--- a/crates/edge/src/store_news.rs
+++ b/crates/edge/src/store_news.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::store::{Begun, FleetStore, StoreFailure};
 use crate::store_calls::{CallReason, StoreCall};
-use brasswinch_routing::{Change, Claim, Revised, Revision, Scope};
+use brasswinch_routing::{Change, Revised, Revision, Scope, Watermark};
 use brasswinch_types::Millis;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -116,12 +116,12 @@
 fn record_view(context: &Context, scope: Scope, at: Revision, as_of: Millis) {
     let mut fleet = context.fleet();
     if let Some(revision) = fleet.newest(scope) {
-        let watermark = Claim {
+        let watermark = Watermark {
             revision,
             at,
             as_of,
         };
-        fleet.claim(scope, watermark);
+        fleet.record_watermark(scope, watermark);
     }
 }
 
--- a/crates/edge/src/telling.rs
+++ b/crates/edge/src/telling.rs
@@ -4,7 +4,7 @@
 //! hops for any fleet size.
 
 use crate::context::{Context, SCOPES};
-use brasswinch_routing::{Claim, KnownView, Liveness, Revision, Scope, StoreDuty, SwimMessage};
+use brasswinch_routing::{KnownView, Liveness, Revision, Scope, StoreDuty, SwimMessage, Watermark};
 use brasswinch_types::{BoxId, Millis, Zone};
 use std::net::SocketAddr;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -46,12 +46,12 @@
 impl Context {
     /// Schedules a report after the store has answered a follower.
     pub(crate) fn report_after_follow(&self) {
-        self.schedule_report(self.duty() == StoreDuty::Confirms);
+        self.schedule_report(self.duty() == StoreDuty::Lead);
     }
 
     /// Schedules a report after a stale view was refreshed from the store.
     pub(crate) fn report_after_refresh(&self) {
-        self.schedule_report(self.duty() != StoreDuty::Hears);
+        self.schedule_report(self.duty() != StoreDuty::Listen);
     }
 
     /// Schedules a report to the own zone.
@@ -124,7 +124,7 @@
             self.defer_to_peer();
         }
         let is_other_zone = zone != self.settings.zone;
-        if !is_other_zone || self.duty() == StoreDuty::Hears {
+        if !is_other_zone || self.duty() == StoreDuty::Listen {
             return;
         }
         if failing {
@@ -142,21 +142,21 @@
         let Some(as_of) = self.clock.now().checked_sub(age) else {
             return false;
         };
-        let watermark = Claim {
+        let watermark = Watermark {
             revision: view.revision,
             at: view.at,
             as_of,
         };
         let mut fleet = self.fleet();
-        let before = fleet.whole_as_of(view.scope);
-        fleet.claim(view.scope, watermark);
-        fleet.whole_as_of(view.scope) > before
+        let before = fleet.complete_as_of(view.scope);
+        fleet.record_watermark(view.scope, watermark);
+        fleet.complete_as_of(view.scope) > before
     }
 
     /// Returns the age of the complete view of `scope` in milliseconds; `None` before the first
     /// one.
     pub(crate) fn view_age_ms(&self, scope: Scope) -> Option<Millis> {
-        let as_of = self.fleet().whole_as_of(scope)?;
+        let as_of = self.fleet().complete_as_of(scope)?;
         Some(self.clock.now().saturating_sub(as_of))
     }
 
@@ -164,11 +164,11 @@
         let now = self.clock.now();
         let fleet = self.fleet();
         let view = |scope: Scope| {
-            let age_ms = now.saturating_sub(fleet.whole_as_of(scope)?);
+            let age_ms = now.saturating_sub(fleet.complete_as_of(scope)?);
             Some(KnownView {
                 scope,
                 revision: fleet.newest(scope)?,
-                at: fleet.asked_to(scope)?,
+                at: fleet.resume_after(scope)?,
                 age_ms: u32::try_from(age_ms).ok()?,
             })
         };
--- a/crates/edge/src/watching.rs
+++ b/crates/edge/src/watching.rs
@@ -56,9 +56,9 @@
     /// A box that starts with the store follows it until others do.
     fn new(watchers: Watchers, starts_with_store: bool) -> Self {
         let settled = if starts_with_store {
-            StoreDuty::Follows
+            StoreDuty::Follow
         } else {
-            StoreDuty::Hears
+            StoreDuty::Listen
         };
         Self {
             watchers: Arc::new(watchers),
@@ -73,7 +73,7 @@
             self.since = now;
         }
         let has_lasted = now.saturating_sub(self.since) >= DUTY_SETTLE_MS;
-        let is_only_one = is_alone && newest != StoreDuty::Hears;
+        let is_only_one = is_alone && newest != StoreDuty::Listen;
         if is_only_one || has_lasted {
             self.settled = newest;
         }
@@ -217,7 +217,7 @@
             StoreFailure::Unavailable(_) | StoreFailure::NotWhole(_)
         ) {
             let now = self.clock.now();
-            self.fleet().store_failed(now);
+            self.fleet().record_store_failure(now);
         }
     }
 }
--- a/crates/routing/src/config.rs
+++ b/crates/routing/src/config.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// Longest duration in a setting, in seconds: one day. Longer ones in documents are cut to it.
-pub const LONGEST_TIME_S: f64 = 86_400.0;
+pub const MAX_TIME_S: f64 = 86_400.0;
 
 /// Largest weight of a back end.
 const MAX_WEIGHT: f64 = 1e12;
@@ -166,7 +166,7 @@
     },
     /// Two routes match the same requests.
     #[error("routes {first} and {second} have the same host and prefix")]
-    SamePlace {
+    DuplicateRoute {
         /// One route.
         first: String,
         /// The other.
@@ -193,7 +193,7 @@
             self.check_route(route)?;
             let place = (route.host.as_str(), route.path_prefix.as_str());
             if let Some(first) = places.insert(place, &route.name) {
-                return Err(ConfigError::SamePlace {
+                return Err(ConfigError::DuplicateRoute {
                     first: first.to_owned(),
                     second: route.name.clone(),
                 });
@@ -235,12 +235,12 @@
                 check_number(&route.name, "weight", backend.weight, MAX_WEIGHT)?;
             }
             let timeout_s = route.timeout_s.unwrap_or(0.0);
-            check_number(&route.name, "time-out", timeout_s, LONGEST_TIME_S)?;
+            check_number(&route.name, "time-out", timeout_s, MAX_TIME_S)?;
         }
         for (name, service) in &self.services {
             let owner = name.as_str();
             check_number(owner, "cold rate", service.cold_per_s, MAX_RATE_PER_S)?;
-            check_number(owner, "cold period", service.cold_period_s, LONGEST_TIME_S)?;
+            check_number(owner, "cold period", service.cold_period_s, MAX_TIME_S)?;
         }
         for (name, workspace) in &self.workspaces {
             if let Some(quota) = workspace.quota {
@@ -249,13 +249,8 @@
             }
         }
         let limits = &self.limits;
-        check_number(
-            "limits",
-            "head time",
-            limits.header_timeout_s,
-            LONGEST_TIME_S,
-        )?;
-        check_number("limits", "idle time", limits.idle_timeout_s, LONGEST_TIME_S)
+        check_number("limits", "head time", limits.header_timeout_s, MAX_TIME_S)?;
+        check_number("limits", "idle time", limits.idle_timeout_s, MAX_TIME_S)
     }
 
     /// Returns the rank of the most urgent requests for `service`: that of the most urgent route
--- a/crates/routing/src/config_patch.rs
+++ b/crates/routing/src/config_patch.rs
@@ -16,14 +16,14 @@
 /// Identifies a configuration by its version and content. A patch applies to one exact content,
 /// and boxes may have read the same version differently.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ConfigMark {
+pub struct ConfigFingerprint {
     /// The version.
     pub version: ConfigVersion,
     /// A hash of the content, independent of the order of routes.
     pub digest: u64,
 }
 
-impl ConfigMark {
+impl ConfigFingerprint {
     /// Returns the fingerprint of `config`.
     pub fn of(config: &SteeringConfig) -> Self {
         let routes = config.routes.iter().map(route_digest);
@@ -65,14 +65,14 @@
 
 /// The host and path prefix of a route, which identify it within a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct RoutePlace {
+pub struct RouteKey {
     /// The host, in lower case.
     pub host: String,
     /// The prefix of the path.
     pub path_prefix: String,
 }
 
-impl RoutePlace {
+impl RouteKey {
     fn of(route: &Route) -> Self {
         Self {
             host: route.host.clone(),
@@ -85,13 +85,13 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ConfigPatch {
     /// The configuration that the patch applies to.
-    pub base: ConfigMark,
+    pub base: ConfigFingerprint,
     /// The version of the result.
     pub version: ConfigVersion,
     /// New routes, and routes that differ from those with the same host and prefix.
     pub changed_routes: Vec<Route>,
     /// Removed routes.
-    pub removed_routes: BTreeSet<RoutePlace>,
+    pub removed_routes: BTreeSet<RouteKey>,
     /// New or changed services.
     pub changed_services: BTreeMap<Service, ServiceConfig>,
     /// Removed services.
@@ -112,14 +112,14 @@
         let is_changed = |route: &&Route| base_routes.get(&route_key(route)) != Some(route);
         let is_removed = |route: &&Route| !newer_routes.contains_key(&route_key(route));
         Self {
-            base: ConfigMark::of(base),
+            base: ConfigFingerprint::of(base),
             version: newer.version,
             changed_routes: newer.routes.iter().filter(is_changed).cloned().collect(),
             removed_routes: base
                 .routes
                 .iter()
                 .filter(is_removed)
-                .map(RoutePlace::of)
+                .map(RouteKey::of)
                 .collect(),
             changed_services: changed(&base.services, &newer.services),
             removed_services: removed(&base.services, &newer.services),
@@ -205,7 +205,7 @@
     (&route.host, &route.path_prefix)
 }
 
-fn as_key(key: &RoutePlace) -> (&str, &str) {
+fn as_key(key: &RouteKey) -> (&str, &str) {
     (&key.host, &key.path_prefix)
 }
 
@@ -245,8 +245,8 @@
     /// Returns the patches that lead from `base` to `current`; `None` if they are no longer kept.
     pub(crate) fn since(
         &self,
-        base: ConfigMark,
-        current: ConfigMark,
+        base: ConfigFingerprint,
+        current: ConfigFingerprint,
     ) -> Option<Vec<Arc<ConfigPatch>>> {
         if base == current || base.version > current.version {
             return Some(Vec::new());
--- a/crates/routing/src/fleet_size.rs
+++ b/crates/routing/src/fleet_size.rs
@@ -4,7 +4,7 @@
 //! some of them. If it counted only the boxes that it reaches, each side of a partition would
 //! use up all of every shared rate. So a box uses the largest of
 //!
-//! * the most boxes that were alive at the same time within the last [`REMEMBERED_MS`],
+//! * the most boxes that were alive at the same time within the last [`SIZE_RETENTION_MS`],
 //! * the size recorded in the store, which outlives all boxes,
 //! * the sizes reported by boxes that are alive.
 //!
@@ -15,7 +15,7 @@
 
 /// How long boxes still count after they were last alive, in milliseconds: regions are at times
 /// cut off from each other for an hour, and both sides keep serving.
-pub const REMEMBERED_MS: Millis = 3_600_000;
+pub const SIZE_RETENTION_MS: Millis = 3_600_000;
 
 /// How long a box waits for a reported size before it uses the number of live boxes, in
 /// milliseconds. This is longer than the store's occasional pauses.
@@ -25,7 +25,7 @@
 /// that boxes that restart one after another don't cause a store call each.
 const SHRINK_FRACTION: f64 = 0.9;
 
-/// The maximum of a number over the last one to two times [`REMEMBERED_MS`].
+/// The maximum of a number over the last one to two times [`SIZE_RETENTION_MS`].
 #[derive(Clone, Copy, Debug, Default)]
 struct WindowedMax {
     window_start: Millis,
@@ -35,7 +35,7 @@
 
 impl WindowedMax {
     fn record(&mut self, value: u32, now: Millis) {
-        if now.saturating_sub(self.window_start) >= REMEMBERED_MS {
+        if now.saturating_sub(self.window_start) >= SIZE_RETENTION_MS {
             self.previous = std::mem::take(&mut self.current);
             self.window_start = now;
         }
@@ -57,11 +57,11 @@
 pub enum KnownSize {
     /// No size was reported: the boxes seen alive are taken for the whole fleet.
     #[default]
-    Heard,
+    Observed,
     /// No size has been reported yet, but one may still arrive.
-    Awaited,
+    Pending,
     /// The store or another box reported the size: the number of boxes, alive or not.
-    Told(usize),
+    Reported(usize),
 }
 
 /// The fleet size as one box knows it.
@@ -78,7 +78,7 @@
 impl FleetSize {
     /// Records the number of live boxes, including this one, and the largest size that one of
     /// them reports, 0 if none does.
-    pub fn hear(&mut self, boxes: usize, reported: u32, now: Millis) {
+    pub fn observe(&mut self, boxes: usize, reported: u32, now: Millis) {
         self.started_at.get_or_insert(now);
         self.alive
             .record(u32::try_from(boxes).unwrap_or(u32::MAX), now);
@@ -86,18 +86,18 @@
     }
 
     /// Records the size in the store; 0 if no box has written one yet.
-    pub fn recorded(&mut self, boxes: u32) {
+    pub fn set_stored(&mut self, boxes: u32) {
         self.stored = Some(boxes);
     }
 
     /// Returns the fleet size and its source.
     pub fn known(&self, now: Millis) -> KnownSize {
         if self.stored.is_some() || self.reported.get() > 0 {
-            KnownSize::Told(self.boxes())
+            KnownSize::Reported(self.boxes())
         } else if self.has_waited(now) {
-            KnownSize::Heard
+            KnownSize::Observed
         } else {
-            KnownSize::Awaited
+            KnownSize::Pending
         }
     }
 
@@ -108,12 +108,12 @@
 
     /// Returns the size to report to other boxes. It is 0 until the store was read, since the
     /// live boxes may be only one side of a partition.
-    pub fn to_tell(&self) -> u32 {
+    pub fn to_report(&self) -> u32 {
         self.stored.map_or(0, |_| self.own_size())
     }
 
     /// Returns the size to write to the store, if the one there has to change.
-    pub fn to_record(&self) -> Option<u32> {
+    pub fn to_store(&self) -> Option<u32> {
         let stored = self.stored?;
         let alive = self.alive.get();
         let is_smaller = f64::from(alive) < f64::from(stored) * SHRINK_FRACTION;
--- a/crates/routing/src/fleet_state/held_config.rs
+++ b/crates/routing/src/fleet_state/held_config.rs
@@ -2,7 +2,7 @@
 
 use crate::change::{Change, Revised, Revision};
 use crate::config::{ConfigVersion, SteeringConfig};
-use crate::config_patch::{ConfigMark, ConfigPatch, PatchHistory};
+use crate::config_patch::{ConfigFingerprint, ConfigPatch, PatchHistory};
 use std::sync::Arc;
 
 /// A configuration patch whose base isn't the configuration that this box holds.
@@ -10,9 +10,9 @@
 #[error("a configuration patch applies to {base:?}, but this box holds {held:?}")]
 pub struct PatchMismatch {
     /// The configuration that the patch applies to.
-    pub base: ConfigMark,
+    pub base: ConfigFingerprint,
     /// The configuration that this box holds, if any.
-    pub held: Option<ConfigMark>,
+    pub held: Option<ConfigFingerprint>,
 }
 
 /// The received configuration with the highest version.
@@ -20,7 +20,7 @@
 pub(super) struct HeldConfig {
     newest: Option<Arc<SteeringConfig>>,
     /// The fingerprint of the newest configuration.
-    fingerprint: Option<ConfigMark>,
+    fingerprint: Option<ConfigFingerprint>,
     /// The last revision that wrote a configuration, whatever its version.
     revision: Revision,
     patches: PatchHistory,
@@ -31,7 +31,7 @@
         self.newest.as_ref()
     }
 
-    pub(super) fn fingerprint(&self) -> Option<ConfigMark> {
+    pub(super) fn fingerprint(&self) -> Option<ConfigFingerprint> {
         self.fingerprint
     }
 
@@ -75,7 +75,7 @@
     }
 
     fn set_newest(&mut self, config: Arc<SteeringConfig>) {
-        self.fingerprint = Some(ConfigMark::of(&config));
+        self.fingerprint = Some(ConfigFingerprint::of(&config));
         self.newest = Some(config);
     }
 
@@ -95,7 +95,7 @@
 
     /// Returns the configuration entry for a peer that holds `holds`: the patches from there, or
     /// the whole configuration.
-    pub(super) fn entry_since(&self, holds: Option<ConfigMark>) -> Option<Revised> {
+    pub(super) fn entry_since(&self, holds: Option<ConfigFingerprint>) -> Option<Revised> {
         let (newest, fingerprint) = (self.newest.as_ref()?, self.fingerprint?);
         let patches = holds.and_then(|holds| self.patches.since(holds, fingerprint));
         let change = match patches {
--- a/crates/routing/src/fleet_state/mod.rs
+++ b/crates/routing/src/fleet_state/mod.rs
@@ -9,11 +9,11 @@
 mod view;
 
 pub use held_config::PatchMismatch;
-pub use view::Claim;
+pub use view::Watermark;
 
 use crate::change::{Change, ChangeKey, Revised, Revision, Scope, Snapshot};
 use crate::config::SteeringConfig;
-use crate::config_patch::ConfigMark;
+use crate::config_patch::ConfigFingerprint;
 use crate::upstream::UpstreamRecord;
 use brasswinch_types::{Millis, UpstreamId, Zone};
 use evacuations::Evacuations;
@@ -69,7 +69,7 @@
     },
     /// All entries, if the changes are no longer kept.
     #[serde(rename = "Whole")]
-    Whole(Snapshot),
+    Snapshot(Snapshot),
 }
 
 impl FleetState {
@@ -161,7 +161,7 @@
     /// this box doesn't hold (any more): the data must be requested again.
     pub fn catch_up(&mut self, received: CatchUp, now: Millis) -> Result<bool, PatchMismatch> {
         let changes = match &received {
-            CatchUp::Whole(snapshot) => &snapshot.entries,
+            CatchUp::Snapshot(snapshot) => &snapshot.entries,
             CatchUp::Changes { changes, .. } => changes,
         };
         for revised in changes {
@@ -174,7 +174,7 @@
 
     fn apply_received(&mut self, received: CatchUp, now: Millis) -> bool {
         match received {
-            CatchUp::Whole(snapshot) => self.apply_snapshot(snapshot, now),
+            CatchUp::Snapshot(snapshot) => self.apply_snapshot(snapshot, now),
             CatchUp::Changes { scope, at, changes } => {
                 let changed = self.apply_changes(scope, changes, now);
                 if let Some(progress) = self.scopes.get_mut(&scope) {
@@ -193,7 +193,7 @@
     }
 
     /// Records a watermark of `scope` from the store or from a peer.
-    pub fn claim(&mut self, scope: Scope, watermark: Claim) {
+    pub fn record_watermark(&mut self, scope: Scope, watermark: Watermark) {
         let newest = self.newest(scope);
         self.views
             .entry(scope)
@@ -203,25 +203,25 @@
 
     /// Returns the time on this box's clock as of which everything in `scope` is known; `None`
     /// if that was never the case.
-    pub fn whole_as_of(&self, scope: Scope) -> Option<Millis> {
+    pub fn complete_as_of(&self, scope: Scope) -> Option<Millis> {
         self.views.get(&scope)?.as_of()
     }
 
     /// Returns the store's revision after which changes in `scope` have to be requested; `None`
     /// before the first listing.
-    pub fn asked_to(&self, scope: Scope) -> Option<Revision> {
+    pub fn resume_after(&self, scope: Scope) -> Option<Revision> {
         let newest = self.newest(scope)?;
         let at = self.views.get(&scope).map(View::at).unwrap_or_default();
         Some(newest.max(at))
     }
 
     /// Returns the latest revision of `scope` that was reported by others and isn't known yet.
-    pub fn awaited(&self, scope: Scope) -> Option<Revision> {
+    pub fn pending_revision(&self, scope: Scope) -> Option<Revision> {
         self.views.get(&scope)?.pending_revision()
     }
 
     /// Records that the store failed to serve this box.
-    pub fn store_failed(&mut self, now: Millis) {
+    pub fn record_store_failure(&mut self, now: Millis) {
         self.store_failed_at = Some(now);
     }
 
@@ -250,7 +250,7 @@
         &self,
         scope: Scope,
         after: Option<Revision>,
-        holds: Option<ConfigMark>,
+        holds: Option<ConfigFingerprint>,
     ) -> Option<CatchUp> {
         let progress = self.scopes.get(&scope)?;
         let at = progress.newest;
@@ -259,7 +259,7 @@
             Scope::Upstreams => self.upstreams.entries(),
         };
         let Some(after) = after.filter(|after| *after >= progress.kept_since) else {
-            return Some(CatchUp::Whole(Snapshot { scope, at, entries }));
+            return Some(CatchUp::Snapshot(Snapshot { scope, at, entries }));
         };
         let removals = match scope {
             Scope::Operator => self.evacuations.ended_entries(),
@@ -276,7 +276,7 @@
     }
 
     /// Returns the fingerprint of the configuration in force.
-    pub fn config_mark(&self) -> Option<ConfigMark> {
+    pub fn config_fingerprint(&self) -> Option<ConfigFingerprint> {
         self.config.fingerprint()
     }
 
@@ -310,7 +310,7 @@
             ChangeKey::Upstream(id) => {
                 let dropped = self.upstreams.drop_expired_tombstones(now);
                 self.keep_since(Scope::Upstreams, dropped);
-                let present_as_of = self.whole_as_of(Scope::Upstreams);
+                let present_as_of = self.complete_as_of(Scope::Upstreams);
                 self.upstreams.remove(id, revision, now, present_as_of)
             }
         }
@@ -324,7 +324,7 @@
         }
     }
 
-    fn operator_entries(&self, holds: Option<ConfigMark>) -> Vec<Revised> {
+    fn operator_entries(&self, holds: Option<ConfigFingerprint>) -> Vec<Revised> {
         let config = self.config.entry_since(holds);
         let evacuations = self.evacuations.active_entries();
         config.into_iter().chain(evacuations).collect()
--- a/crates/routing/src/fleet_state/view.rs
+++ b/crates/routing/src/fleet_state/view.rs
@@ -14,7 +14,7 @@
 /// A watermark of one scope: every change that the store had acknowledged at `as_of` has a
 /// revision of at most `revision`, and there is no later change up to revision `at`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Claim {
+pub struct Watermark {
     /// The last change of the scope.
     pub revision: Revision,
     /// The store's revision up to which there is no later change of the scope.
@@ -29,7 +29,7 @@
     as_of: Option<Millis>,
     at: Revision,
     /// Watermarks whose revision the box doesn't know yet.
-    pending: VecDeque<Claim>,
+    pending: VecDeque<Watermark>,
 }
 
 impl View {
@@ -52,7 +52,7 @@
     }
 
     /// Records a watermark; everything up to `newest` is known.
-    pub(super) fn record(&mut self, watermark: Claim, newest: Option<Revision>) {
+    pub(super) fn record(&mut self, watermark: Watermark, newest: Option<Revision>) {
         if self.as_of.is_some_and(|as_of| as_of >= watermark.as_of) {
             return;
         }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -13,7 +13,7 @@
 mod fleet_state;
 mod health_probers;
 mod look_up;
-mod news_source;
+mod peer_selector;
 mod placement;
 mod quarantine;
 mod quota;
@@ -36,16 +36,16 @@
 pub use change::{Change, ChangeKey, Revised, Revision, Scope, Snapshot};
 pub use cold_pacing::ColdPacing;
 pub use config::{
-    Backend, ClientLimits, ConfigError, ConfigVersion, LONGEST_TIME_S, Route, RouteKind,
-    ServiceConfig, SteeringConfig,
+    Backend, ClientLimits, ConfigError, ConfigVersion, MAX_TIME_S, Route, RouteKind, ServiceConfig,
+    SteeringConfig,
 };
-pub use config_patch::{ConfigMark, ConfigPatch, RoutePlace};
+pub use config_patch::{ConfigFingerprint, ConfigPatch, RouteKey};
 pub use demand::{AveragedDemand, DemandSample};
-pub use fleet_size::{FleetSize, KnownSize, REMEMBERED_MS};
-pub use fleet_state::{CatchUp, Claim, FleetState, LostEntry, PatchMismatch};
+pub use fleet_size::{FleetSize, KnownSize, SIZE_RETENTION_MS};
+pub use fleet_state::{CatchUp, FleetState, LostEntry, PatchMismatch, Watermark};
 pub use health_probers::{HealthProber, HealthProbers};
 pub use look_up::{CandidateBox, MAX_LISTED_BOXES, select_boxes};
-pub use news_source::{Candidate, Distance, NewsSources};
+pub use peer_selector::{Candidate, Distance, PeerSelector};
 pub use placement::{
     Advice, AdviceQuery, AdvisedHome, Basis, Choice, CompletionReport, Home, HomeState, Placement,
     PlacementSettings, PlacementUpdate, Refusal, RetainedUpstream, ServiceStatus, UpstreamOutcome,
--- a/crates/routing/src/news_source.rs
+++ b/crates/routing/src/peer_selector.rs
@@ -38,12 +38,12 @@
 
 /// Selects peers, and avoids those whose last request failed.
 #[derive(Clone, Debug, Default)]
-pub struct NewsSources {
+pub struct PeerSelector {
     avoided: HashMap<SocketAddr, Millis>,
     last_request_failed: bool,
 }
 
-impl NewsSources {
+impl PeerSelector {
     /// Chooses one of `candidates`; `random`, from 0 to 1, decides between equally good ones.
     pub fn choose(
         &mut self,
@@ -68,13 +68,13 @@
     }
 
     /// Records that `peer` answered a request.
-    pub fn helped(&mut self, peer: SocketAddr) {
+    pub fn record_success(&mut self, peer: SocketAddr) {
         self.avoided.remove(&peer);
         self.last_request_failed = false;
     }
 
     /// Records that a request to `peer` failed.
-    pub fn failed(&mut self, peer: SocketAddr, now: Millis) {
+    pub fn record_failure(&mut self, peer: SocketAddr, now: Millis) {
         self.avoided.insert(peer, now + AVOID_MS);
         self.last_request_failed = true;
     }
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -157,8 +157,8 @@
     /// Returns the number of boxes that share each quota, at least 1.
     fn sharing_boxes(&self) -> usize {
         let boxes = match self.fleet_size {
-            KnownSize::Told(boxes) => boxes,
-            KnownSize::Heard | KnownSize::Awaited => self.max_known_boxes,
+            KnownSize::Reported(boxes) => boxes,
+            KnownSize::Observed | KnownSize::Pending => self.max_known_boxes,
         };
         boxes.max(1)
     }
@@ -196,9 +196,9 @@
     /// may be cut off.
     pub fn is_settled(&mut self, now: Millis) -> bool {
         let knows_size = match self.fleet_size {
-            KnownSize::Told(_) => true,
-            KnownSize::Awaited => false,
-            KnownSize::Heard => self.max_known_boxes > 1,
+            KnownSize::Reported(_) => true,
+            KnownSize::Pending => false,
+            KnownSize::Observed => self.max_known_boxes > 1,
         };
         let settled_at = self.grew_at.map(|grew_at| grew_at + SETTLE_MS);
         let is_quiet = settled_at.is_some_and(|settled_at| now >= settled_at);
--- a/crates/routing/src/swim/mod.rs
+++ b/crates/routing/src/swim/mod.rs
@@ -111,7 +111,7 @@
     }
 
     /// Returns the records of all boxes that are alive, including this one.
-    pub fn heard_boxes(&self) -> impl Iterator<Item = &MemberRecord> {
+    pub fn alive_boxes(&self) -> impl Iterator<Item = &MemberRecord> {
         let alive = |member: &&Member| member.liveness == Liveness::Alive;
         let others = self.members().filter(alive);
         others.map(|member| &member.record).chain([&self.me])
@@ -119,12 +119,12 @@
 
     /// Returns the records of all live boxes that serve requests.
     pub fn serving_boxes(&self) -> impl Iterator<Item = &MemberRecord> {
-        self.heard_boxes()
+        self.alive_boxes()
             .filter(|record| record.state == MemberState::Serving)
     }
 
     /// Returns the latest revision of `scope` that any box ever reported.
-    pub fn newest_heard(&self, scope: Scope) -> Revision {
+    pub fn newest_reported(&self, scope: Scope) -> Revision {
         self.reported_revisions
             .get(&scope)
             .copied()
@@ -183,7 +183,7 @@
     }
 
     /// Returns pings to a few members that announce this box's current record at once.
-    pub fn hints(&mut self, random: &mut impl Rng) -> Vec<Outgoing> {
+    pub fn announce_update(&mut self, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut addresses = self.addresses(Liveness::Alive);
         addresses.shuffle(random);
         addresses.truncate(ANNOUNCE_FANOUT);
@@ -204,7 +204,7 @@
 
     /// Sets the addresses of boxes found elsewhere. Some of those that belong to no live member
     /// are sent a sync request at the next tick. Returns how many belong to none.
-    pub fn introduce(&mut self, addresses: impl Iterator<Item = SocketAddr>) -> usize {
+    pub fn set_contacts(&mut self, addresses: impl Iterator<Item = SocketAddr>) -> usize {
         let alive = self.addresses(Liveness::Alive);
         let is_contact =
             |address: &SocketAddr| *address != self.me.peer_address && !alive.contains(address);
@@ -276,7 +276,7 @@
 
     /// Returns the messages that announce to some members that this box is leaving. They are the
     /// last ones before it stops.
-    pub fn farewell(&mut self, random: &mut impl Rng) -> Vec<Outgoing> {
+    pub fn announce_leave(&mut self, random: &mut impl Rng) -> Vec<Outgoing> {
         let mut addresses: Vec<SocketAddr> = self.addresses(Liveness::Alive);
         addresses.shuffle(random);
         addresses.truncate(MAX_UPDATES_PER_MESSAGE);
--- a/crates/routing/src/view_limits.rs
+++ b/crates/routing/src/view_limits.rs
@@ -51,7 +51,7 @@
 
     /// Returns the view age, in milliseconds, from which on a box considers the store
     /// unreachable: by then the followers have asked it and confirmed nothing.
-    pub fn silent_ms(&self) -> Millis {
+    pub fn unreachable_ms(&self) -> Millis {
         (self.max_age_ms * LISTENER_FRACTION) as Millis
     }
 
@@ -59,9 +59,9 @@
     /// `random` is drawn from 0 to 1.
     pub fn limit_ms(&self, duty: StoreDuty, random: f64) -> Millis {
         let fraction = match duty {
-            StoreDuty::Confirms => LEADER_FRACTION,
-            StoreDuty::Follows | StoreDuty::PassesOn => FOLLOWER_FRACTION,
-            StoreDuty::Hears => LISTENER_FRACTION + (1.0 - LISTENER_FRACTION) * random,
+            StoreDuty::Lead => LEADER_FRACTION,
+            StoreDuty::Follow | StoreDuty::Relay => FOLLOWER_FRACTION,
+            StoreDuty::Listen => LISTENER_FRACTION + (1.0 - LISTENER_FRACTION) * random,
         };
         (self.max_age_ms * fraction) as Millis
     }
--- a/crates/routing/src/watchers.rs
+++ b/crates/routing/src/watchers.rs
@@ -26,22 +26,22 @@
     /// Follows the store, and confirms to the other followers and the relays that their views
     /// are complete.
     #[serde(rename = "Confirms")]
-    Confirms,
+    Lead,
     /// Follows the store.
     #[serde(rename = "Follows")]
-    Follows,
+    Follow,
     /// Receives updates from the leading follower and relays them to its zone.
     #[serde(rename = "PassesOn")]
-    PassesOn,
+    Relay,
     /// Receives updates from other boxes only.
     #[serde(rename = "Hears")]
-    Hears,
+    Listen,
 }
 
 impl StoreDuty {
     /// Whether a box with this duty follows the store itself.
     pub fn follows_store(self) -> bool {
-        matches!(self, Self::Confirms | Self::Follows)
+        matches!(self, Self::Lead | Self::Follow)
     }
 }
 
@@ -67,7 +67,7 @@
         let mut ranked: Vec<Ranked<'_>> = candidates.map(Ranked::of).collect();
         ranked.sort_by(|a, b| b.compare(a));
         let mut zones: BTreeSet<&str> = BTreeSet::new();
-        let mut duty = StoreDuty::Hears;
+        let mut duty = StoreDuty::Listen;
         let mut others = Vec::new();
         for (place, Ranked { record, .. }) in ranked.into_iter().enumerate() {
             let is_first_of_zone = zones.insert(record.zone.as_str());
@@ -79,9 +79,9 @@
                 continue;
             }
             duty = match place {
-                0 => StoreDuty::Confirms,
-                place if place < FOLLOWER_COUNT => StoreDuty::Follows,
-                _ => StoreDuty::PassesOn,
+                0 => StoreDuty::Lead,
+                place if place < FOLLOWER_COUNT => StoreDuty::Follow,
+                _ => StoreDuty::Relay,
             };
         }
         Self { duty, others }
--- a/crates/routing/tests/bound.rs
+++ b/crates/routing/tests/bound.rs
@@ -10,8 +10,8 @@
 mod common;
 
 use brasswinch_routing::{
-    CatchUp, Change, ChangeKey, Claim, FleetState, Placement, Revised, Revision, Scope, Snapshot,
-    StoreDuty, UpstreamOutcome, ViewLimits,
+    CatchUp, Change, ChangeKey, FleetState, Placement, Revised, Revision, Scope, Snapshot,
+    StoreDuty, UpstreamOutcome, ViewLimits, Watermark,
 };
 use brasswinch_types::UpstreamId;
 use common::{config, placement_in, revised, service, upstream, wanted, zones};
@@ -126,24 +126,24 @@
 
     fn duty(number: usize) -> StoreDuty {
         match number {
-            0 => StoreDuty::Confirms,
-            1 => StoreDuty::Follows,
-            _ => StoreDuty::Hears,
+            0 => StoreDuty::Lead,
+            1 => StoreDuty::Follow,
+            _ => StoreDuty::Listen,
         }
     }
 
     fn age_ms(&self, now: u64) -> Option<u64> {
-        Some(now - self.fleet.whole_as_of(SCOPE)?)
+        Some(now - self.fleet.complete_as_of(SCOPE)?)
     }
 
     fn claim(&mut self, at: Revision, as_of: u64) {
         let revision = self.fleet.newest(SCOPE).unwrap();
-        let claim = Claim {
+        let claim = Watermark {
             revision,
             at,
             as_of,
         };
-        self.fleet.claim(SCOPE, claim);
+        self.fleet.record_watermark(SCOPE, claim);
     }
 }
 
@@ -271,12 +271,12 @@
                 age_ms,
             } => {
                 if let Some(as_of) = now.checked_sub(age_ms) {
-                    let claim = Claim {
+                    let claim = Watermark {
                         revision,
                         at,
                         as_of,
                     };
-                    it.fleet.claim(SCOPE, claim);
+                    it.fleet.record_watermark(SCOPE, claim);
                 }
                 if it.fleet.newest(SCOPE) < Some(revision) {
                     self.query_box(number, from);
@@ -303,7 +303,7 @@
         let (Some(age_ms), Some(revision)) = (it.age_ms(self.now), it.fleet.newest(SCOPE)) else {
             return;
         };
-        let at = it.fleet.asked_to(SCOPE).unwrap();
+        let at = it.fleet.resume_after(SCOPE).unwrap();
         for to in (0..BOXES).filter(|to| *to != from) {
             if self.rng.random_bool(0.4) {
                 continue;
@@ -333,7 +333,7 @@
         }
         let arrives = self.now + self.rng.random_range(5..CALL_MS);
         let is_history_gone = self.rng.random_bool(0.2);
-        let answer = match it.fleet.asked_to(SCOPE) {
+        let answer = match it.fleet.resume_after(SCOPE) {
             Some(after) if !is_history_gone => {
                 Message::Changes(self.store.later_than(after), self.store.at(), self.now)
             }
--- a/crates/routing/tests/common/mod.rs
+++ b/crates/routing/tests/common/mod.rs
@@ -4,9 +4,9 @@
 pub mod recorded_store;
 
 use brasswinch_routing::{
-    Backend, Change, Claim, ClientLimits, ConfigVersion, FleetState, Placement, PlacementSettings,
-    Rank, RegionLimits, Revised, Revision, Route, RouteKind, Scope, ServiceConfig, Snapshot,
-    SteeringConfig, UpstreamRecord, UpstreamRequest, UpstreamState,
+    Backend, Change, ClientLimits, ConfigVersion, FleetState, Placement, PlacementSettings, Rank,
+    RegionLimits, Revised, Revision, Route, RouteKind, Scope, ServiceConfig, Snapshot,
+    SteeringConfig, UpstreamRecord, UpstreamRequest, UpstreamState, Watermark,
 };
 use brasswinch_types::{BoxId, Region, Service, UpstreamId, Zone};
 use std::collections::{BTreeMap, BTreeSet};
@@ -94,14 +94,14 @@
             fleet.apply(revised(u64::from(port), Change::Upstream(record)), 1);
         }
     }
-    whole_as_of(&mut fleet, 19);
+    complete_as_of(&mut fleet, 19);
     fleet
 }
 
 /// Marks the view of the upstreams as complete as of `as_of`.
-pub fn whole_as_of(fleet: &mut FleetState, as_of: u64) {
+pub fn complete_as_of(fleet: &mut FleetState, as_of: u64) {
     let at = Revision::default();
-    let claim = Claim {
+    let claim = Watermark {
         revision: at,
         at,
         as_of,
@@ -118,7 +118,7 @@
         let entries = entries.collect();
         fleet.apply_snapshot(Snapshot { scope, at, entries }, 1);
     }
-    fleet.claim(scope, claim);
+    fleet.record_watermark(scope, claim);
 }
 
 pub fn placement_in(region: &str) -> Placement {
--- a/crates/routing/tests/config_patch.rs
+++ b/crates/routing/tests/config_patch.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use brasswinch_routing::{
-    CatchUp, Change, ConfigMark, ConfigPatch, ConfigVersion, FleetState, Revision, Scope, Snapshot,
-    SteeringConfig,
+    CatchUp, Change, ConfigFingerprint, ConfigPatch, ConfigVersion, FleetState, Revision, Scope,
+    Snapshot, SteeringConfig,
 };
 use brasswinch_types::{Region, Service};
 use common::{config, revised, route};
@@ -58,7 +58,7 @@
 
 /// Returns the data that `peer` lacks, as `source` sends it.
 fn missing_at(source: &FleetState, peer: &FleetState) -> CatchUp {
-    let holds = peer.config_mark();
+    let holds = peer.config_fingerprint();
     let after = peer.newest(Scope::Operator);
     source.missing(Scope::Operator, after, holds).unwrap()
 }
@@ -71,7 +71,7 @@
 /// Returns whether the data contains a whole configuration.
 fn is_whole(received: &CatchUp) -> bool {
     let entries = match received {
-        CatchUp::Whole(snapshot) => &snapshot.entries,
+        CatchUp::Snapshot(snapshot) => &snapshot.entries,
         CatchUp::Changes { changes, .. } => changes,
     };
     let is_config = |change: &Change| matches!(change, Change::Config(_));
@@ -159,7 +159,7 @@
         write(&mut source, step, version(step));
     }
     let missing = |holds: Option<u64>| {
-        let holds = holds.map(|step| ConfigMark::of(&version(step)));
+        let holds = holds.map(|step| ConfigFingerprint::of(&version(step)));
         source
             .missing(Scope::Operator, Some(Revision(1)), holds)
             .unwrap()
@@ -169,7 +169,11 @@
     assert!(!is_whole(&missing(Some(98))));
     // A restarted box has no revision to catch up from, but may still hold the newest version.
     let restarted = source
-        .missing(Scope::Operator, None, Some(ConfigMark::of(&version(99))))
+        .missing(
+            Scope::Operator,
+            None,
+            Some(ConfigFingerprint::of(&version(99))),
+        )
         .unwrap();
     assert!(!is_whole(&restarted));
 }
@@ -182,7 +186,7 @@
     let patches = source.missing(
         Scope::Operator,
         Some(Revision(1)),
-        Some(ConfigMark::of(&config(1))),
+        Some(ConfigFingerprint::of(&config(1))),
     );
     let patches = patches.unwrap();
     let mut peer = FleetState::default();
@@ -190,7 +194,7 @@
     assert_eq!((fresh.base.version, fresh.held), (ConfigVersion(1), None));
     peer.apply_snapshot(listing(1, config(3)), 1);
     let other = peer.catch_up(patches.clone(), 1).unwrap_err();
-    assert_eq!(other.held, Some(ConfigMark::of(&config(3))));
+    assert_eq!(other.held, Some(ConfigFingerprint::of(&config(3))));
     assert_eq!(peer.newest(Scope::Operator), Some(Revision(1)));
     // A box that already holds the resulting version treats the patches as known.
     peer.apply_snapshot(listing(2, config(4)), 1);
@@ -211,7 +215,7 @@
     let by_version = source.missing(
         Scope::Operator,
         Some(Revision(2)),
-        Some(ConfigMark::of(&generated(2, &[2; 6], 1))),
+        Some(ConfigFingerprint::of(&generated(2, &[2; 6], 1))),
     );
     assert!(peer.catch_up(by_version.unwrap(), 1).is_err());
     let received = missing_at(&source, &peer);
@@ -228,7 +232,7 @@
     write(&mut source, 2, version(2));
     write(&mut source, 3, version(3));
     let missing = |held: u64| {
-        let holds = Some(ConfigMark::of(&version(held)));
+        let holds = Some(ConfigFingerprint::of(&version(held)));
         let missing = source.missing(Scope::Operator, Some(Revision(1)), holds);
         missing.unwrap()
     };
--- a/crates/routing/tests/fleet_state.rs
+++ b/crates/routing/tests/fleet_state.rs
@@ -171,7 +171,7 @@
     let entries = Vec::new();
     fleet.apply_snapshot(Snapshot { scope, at, entries }, 1);
     let older = fleet.missing(scope, Some(Revision(99)), None).unwrap();
-    assert!(matches!(older, CatchUp::Whole(_)), "{older:?}");
+    assert!(matches!(older, CatchUp::Snapshot(_)), "{older:?}");
     let same = fleet.missing(scope, Some(at), None).unwrap();
     assert!(matches!(same, CatchUp::Changes { .. }), "{same:?}");
     // The tombstone of "a" has expired; a peer that lacks it gets all entries.
@@ -182,7 +182,7 @@
     fleet.apply_changes(scope, gone(110, "a"), 10);
     fleet.apply_changes(scope, gone(120, "b"), 1_000_000);
     let older = fleet.missing(scope, Some(Revision(105)), None).unwrap();
-    assert!(matches!(older, CatchUp::Whole(_)), "{older:?}");
+    assert!(matches!(older, CatchUp::Snapshot(_)), "{older:?}");
     let newer = fleet.missing(scope, Some(Revision(110)), None).unwrap();
     assert!(matches!(newer, CatchUp::Changes { .. }), "{newer:?}");
 }
--- a/crates/routing/tests/late_answers.rs
+++ b/crates/routing/tests/late_answers.rs
@@ -11,7 +11,7 @@
 mod common;
 
 use brasswinch_routing::{
-    CatchUp, ChangeKey, Claim, FleetState, Revised, Revision, Scope, Snapshot,
+    CatchUp, ChangeKey, FleetState, Revised, Revision, Scope, Snapshot, Watermark,
 };
 use common::recorded_store::{RecordedStore, names};
 use proptest::prelude::*;
@@ -41,7 +41,7 @@
     Listing(Snapshot, u64),
     Changes(Vec<Revised>, Revision, u64),
     Updates(CatchUp),
-    Known(Claim),
+    Known(Watermark),
 }
 
 /// One event of the model.
@@ -113,7 +113,7 @@
     }
 
     fn watch(&mut self, number: usize) {
-        let Some(after) = self.boxes[number].asked_to(SCOPE) else {
+        let Some(after) = self.boxes[number].resume_after(SCOPE) else {
             return;
         };
         let changes = self.store.later_than(after);
@@ -142,7 +142,7 @@
             Reply::Updates(updates) => {
                 fleet.catch_up(updates, now).unwrap();
             }
-            Reply::Known(claim) => fleet.claim(SCOPE, claim),
+            Reply::Known(claim) => fleet.record_watermark(SCOPE, claim),
         }
     }
 }
@@ -150,21 +150,21 @@
 /// Records a box's claim after a reply of the store.
 fn claim(fleet: &mut FleetState, at: Revision, as_of: u64) {
     if let Some(revision) = fleet.newest(SCOPE) {
-        let claim = Claim {
+        let claim = Watermark {
             revision,
             at,
             as_of,
         };
-        fleet.claim(SCOPE, claim);
+        fleet.record_watermark(SCOPE, claim);
     }
 }
 
 /// Returns the claim that a box sends to others.
-fn claim_of(fleet: &FleetState) -> Option<Claim> {
-    Some(Claim {
+fn claim_of(fleet: &FleetState) -> Option<Watermark> {
+    Some(Watermark {
         revision: fleet.newest(SCOPE)?,
-        at: fleet.asked_to(SCOPE)?,
-        as_of: fleet.whole_as_of(SCOPE)?,
+        at: fleet.resume_after(SCOPE)?,
+        as_of: fleet.complete_as_of(SCOPE)?,
     })
 }
 
@@ -185,7 +185,7 @@
                     continue;
                 };
                 prop_assert_eq!(names(fleet), world.store.names(newest));
-                if let Some(as_of) = fleet.whole_as_of(SCOPE) {
+                if let Some(as_of) = fleet.complete_as_of(SCOPE) {
                     prop_assert!(newest >= world.store.at_time(as_of));
                 }
             }
--- a/crates/routing/tests/membership.rs
+++ b/crates/routing/tests/membership.rs
@@ -198,7 +198,7 @@
     network.run(3_000);
     let leaving = network.boxes[4].as_mut().unwrap();
     leaving.set_state(MemberState::Leaving);
-    let out = leaving.farewell(&mut StdRng::seed_from_u64(1));
+    let out = leaving.announce_leave(&mut StdRng::seed_from_u64(1));
     network.send(4, out);
     network.run(1_000);
     for number in (0..12).filter(|number| *number != 4) {
@@ -226,7 +226,7 @@
 
 /// Returns the followers and relays.
 fn watchers(network: &Network) -> Vec<usize> {
-    with_duty(network, |duty| duty != StoreDuty::Hears)
+    with_duty(network, |duty| duty != StoreDuty::Listen)
 }
 
 #[test]
@@ -246,7 +246,7 @@
 fn exactly_one_box_leads_and_knows_all_followers_and_relays() {
     let mut network = Network::new(30);
     network.run(4_000);
-    let confirms = with_duty(&network, |duty| duty == StoreDuty::Confirms);
+    let confirms = with_duty(&network, |duty| duty == StoreDuty::Lead);
     assert_eq!(confirms.len(), 1, "{confirms:?}");
     let swim = network.boxes[confirms[0]].as_ref().unwrap();
     let listed_peers: BTreeSet<SocketAddr> = Watchers::of(swim).others.into_iter().collect();
@@ -303,7 +303,7 @@
         !announcer.set_revision(Scope::Upstreams, Revision(8)),
         "never lowered"
     );
-    let out = announcer.hints(&mut StdRng::seed_from_u64(1));
+    let out = announcer.announce_update(&mut StdRng::seed_from_u64(1));
     network.send(2, out);
     network.run(3 * STEP_MS);
     let informed = (0..12).filter(|number| {
@@ -327,7 +327,7 @@
     assert_eq!(network.alive(0).len(), 2);
     let swim = network.boxes[0].as_mut().unwrap();
     let listed = [address(0), address(1), address(4)];
-    assert_eq!(swim.introduce(listed.into_iter()), 1, "only one is new");
+    assert_eq!(swim.set_contacts(listed.into_iter()), 1, "only one is new");
     network.run(5_000);
     for number in 0..6 {
         assert_eq!(network.alive(number).len(), 5, "box {number}");
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -223,7 +223,7 @@
     let ids: Vec<UpstreamId> = fleet.upstreams().map(|(r, _)| r.id.clone()).collect();
     placement.update(&fleet, &config(1), 1);
     let gone = |id: &UpstreamId| Change::Gone(ChangeKey::Upstream(id.clone()));
-    fleet.store_failed(20);
+    fleet.record_store_failure(20);
     for (number, id) in ids.iter().enumerate().take(10) {
         fleet.apply(revised(9_000 + number as u64, gone(id)), 20);
     }
@@ -245,7 +245,7 @@
 #[test]
 fn entries_lost_without_a_store_outage_are_retained_from_when_they_last_existed() {
     let mut test = Test::new(fleet(2));
-    common::whole_as_of(&mut test.fleet, 700);
+    common::complete_as_of(&mut test.fleet, 700);
     let ids: Vec<UpstreamId> = test.fleet.upstreams().map(|(r, _)| r.id.clone()).collect();
     for (number, id) in ids.iter().enumerate().take(10) {
         let gone = Change::Gone(ChangeKey::Upstream(id.clone()));
--- a/crates/routing/tests/quota_loans.rs
+++ b/crates/routing/tests/quota_loans.rs
@@ -230,7 +230,7 @@
 #[test]
 fn a_box_that_does_not_know_the_fleet_s_size_owns_no_share() {
     let (mut quotas, coordinator) = box_and_coordinator();
-    quotas.set_fleet_size(KnownSize::Awaited);
+    quotas.set_fleet_size(KnownSize::Pending);
     let asked = ask(&mut quotas, SETTLED_AT_MS);
     let reply = QuotaReply {
         id: asked.count.id,
@@ -245,7 +245,7 @@
     let count = asked.count;
     let reply = quotas.handle_count(&count, address(9), LIMIT, SETTLED_AT_MS + 40);
     assert_eq!(reply, None, "it doesn't act as the coordinator");
-    quotas.set_fleet_size(KnownSize::Told(40));
+    quotas.set_fleet_size(KnownSize::Reported(40));
     let loan = ask(&mut quotas, SETTLED_AT_MS + 50).count.loan.unwrap();
     assert_eq!(loan.boxes, 40);
 }
@@ -263,7 +263,7 @@
         sent += usize::from(matches!(admission, Admission::Send(_)));
     }
     assert!(sent <= 1, "{sent} requests in 5 s");
-    quotas.set_fleet_size(KnownSize::Told(1));
+    quotas.set_fleet_size(KnownSize::Reported(1));
     let admission = quotas.admit(&workspace(), LIMIT, 1, 0.5, SETTLED_AT_MS + 6_000);
     assert_eq!(admission, Admission::Send(None));
 }
--- a/crates/routing/tests/quotas_in_cuts.rs
+++ b/crates/routing/tests/quotas_in_cuts.rs
@@ -190,17 +190,19 @@
         let discovers = |other: &usize| *other != index && self.now >= discovered_at[*other];
         let others: Vec<usize> = (0..BOXES).filter(discovers).collect();
         let sizes = others.iter().map(|other| &self.boxes[*other].fleet_size);
-        let reported = sizes.map(FleetSize::to_tell).max().unwrap_or(0);
+        let reported = sizes.map(FleetSize::to_report).max().unwrap_or(0);
         let serving = others.iter().copied().filter(|other| self.serves(*other));
         let serving: Vec<usize> = serving.chain([index]).collect();
         let (serves, now) = (self.serves(index), self.now);
         let model_box = &mut self.boxes[index];
-        model_box.fleet_size.hear(others.len() + 1, reported, now);
+        model_box
+            .fleet_size
+            .observe(others.len() + 1, reported, now);
         if !serves {
             return;
         }
         if (index / ZONES).is_multiple_of(BOXES_PER_STORE_READER) {
-            model_box.fleet_size.recorded(recorded);
+            model_box.fleet_size.set_stored(recorded);
         }
         model_box
             .quotas
--- a/crates/routing/tests/routes.rs
+++ b/crates/routing/tests/routes.rs
@@ -56,7 +56,7 @@
             let twin = config.routes[0].clone();
             config.routes.push(twin);
         }),
-        ConfigError::SamePlace { .. }
+        ConfigError::DuplicateRoute { .. }
     ));
 }
 
