--- a/crates/daemon/src/context.rs
+++ b/crates/daemon/src/context.rs
@@ -6,7 +6,7 @@
 use arc_swap::ArcSwap;
 use brasswinch_decide::blocks::BlockTable;
 use brasswinch_decide::members::BoxState;
-use brasswinch_decide::once::TicketLedger;
+use brasswinch_decide::ticket_ledger::TicketLedger;
 use brasswinch_observe::{LatencyTable, Metrics};
 use brasswinch_settings::Settings;
 use brasswinch_types::{
--- a/crates/daemon/src/control/config.rs
+++ b/crates/daemon/src/control/config.rs
@@ -153,7 +153,7 @@
             .map(|upstream| self.is_announced(&service.key, plan, &upstream.id))
             .collect();
         let hold_back = if self.units.is_holding_back() {
-            HoldBack::LongestUse
+            HoldBack::MaxUse
         } else {
             HoldBack::No
         };
--- a/crates/daemon/src/control/heartbeats.rs
+++ b/crates/daemon/src/control/heartbeats.rs
@@ -37,7 +37,7 @@
         let now = self.now();
         let interval_ms = heartbeat.interval_ms;
         self.members
-            .heard(peer, heartbeat.incarnation, interval_ms, now);
+            .record_heartbeat(peer, heartbeat.incarnation, interval_ms, now);
         if let Some(state) = self.links.links.get_mut(&link) {
             state.interval_ms = interval_ms;
         }
@@ -118,7 +118,8 @@
             .map(|record| (record.id.clone(), record.incarnation))
             .collect();
         for (id, incarnation) in heard {
-            self.members.heard(&id, incarnation, interval_ms, now);
+            self.members
+                .record_heartbeat(&id, incarnation, interval_ms, now);
         }
         let Some(index) = self.context.zone_index(&report.zone) else {
             return;
--- a/crates/daemon/src/control/links.rs
+++ b/crates/daemon/src/control/links.rs
@@ -145,7 +145,7 @@
         if self.links.to(peer).is_some() {
             return;
         }
-        self.members.lost(peer);
+        self.members.record_link_loss(peer);
         if self.links_where(|linked| linked == zone) == 0 {
             self.links.covered.remove(zone);
         }
--- a/crates/daemon/src/control/messages.rs
+++ b/crates/daemon/src/control/messages.rs
@@ -87,7 +87,8 @@
         }
         let now = self.now();
         self.on_records(vec![record], Some(link));
-        self.members.heard(&id, incarnation, hello.interval_ms, now);
+        self.members
+            .record_heartbeat(&id, incarnation, hello.interval_ms, now);
         emit(Event::PeerUp, format_args!("{id} in {zone}"));
         self.links.report_all_next();
         let mut known: Vec<BoxRecord> = self.members.records().cloned().collect();
--- a/crates/daemon/src/control/state.rs
+++ b/crates/daemon/src/control/state.rs
@@ -159,7 +159,7 @@
         self.members
             .known_in(&self.context.zone)
             .into_iter()
-            .filter(|record| self.members.is_heard(&record.id, now))
+            .filter(|record| self.members.is_alive(&record.id, now))
             .cloned()
             .collect()
     }
@@ -263,7 +263,7 @@
             metrics.gauge_slots(&name, "idle", counts.idle);
             metrics.gauge_slots(&name, "busy", counts.busy);
             metrics.gauge_slots(&name, "borrowed", counts.borrowed);
-            metrics.gauge_slots(&name, "lent", counts.lent);
+            metrics.gauge_slots(&name, "lent", counts.loaned);
         }
     }
 }
--- a/crates/daemon/src/control/status.rs
+++ b/crates/daemon/src/control/status.rs
@@ -84,7 +84,7 @@
             busy_here: counts.busy,
             idle_here: counts.idle,
             borrowed_here: counts.borrowed,
-            lent_here: counts.lent,
+            lent_here: counts.loaned,
             zones,
             origins,
             leaving: service
@@ -108,7 +108,7 @@
                 id: record.id.to_string(),
                 zone: record.zone.to_string(),
                 state: format!("{:?}", record.state).to_lowercase(),
-                heard: self.members.is_heard(&record.id, now),
+                heard: self.members.is_alive(&record.id, now),
                 in_force: self.members.config_digest(&record.id) == Some(digest),
             })
             .collect();
@@ -131,7 +131,7 @@
                     .members
                     .known_in(zone)
                     .iter()
-                    .any(|record| self.members.is_heard(&record.id, now))
+                    .any(|record| self.members.is_alive(&record.id, now))
         };
         self.context
             .zones
--- a/crates/daemon/src/control/units.rs
+++ b/crates/daemon/src/control/units.rs
@@ -5,7 +5,7 @@
 use crate::config_store::{table_bytes, table_from, units_key};
 use brasswinch_decide::members::BoxState;
 use brasswinch_decide::slots::HoldBack;
-use brasswinch_decide::unit_claims::{self, ListWatch};
+use brasswinch_decide::unit_claims::{self, ListTracker};
 use brasswinch_observe::{Event, emit};
 use brasswinch_peer::{Message, ServiceHoldings};
 use brasswinch_store::{CasOutcome, StoreError, StoredValue};
@@ -40,7 +40,7 @@
     writing: bool,
     held_back_since: Option<Millis>,
     holdings: BTreeMap<BoxId, Vec<ServiceHoldings>>,
-    list: ListWatch,
+    list: ListTracker,
     held_back_once: bool,
     unsettled_takeover: bool,
     gave_up: bool,
@@ -128,7 +128,7 @@
             &self.units.table,
             &self.context.id,
             self.boxes_in_zone(),
-            |unit| self.unit_is_quiet(unit),
+            |unit| self.unit_is_unused(unit),
         )
     }
 
@@ -199,7 +199,7 @@
         }
         let takeover = std::mem::take(&mut self.units.unsettled_takeover);
         let hold_back = if takeover || self.units.is_holding_back() {
-            HoldBack::LongestUse
+            HoldBack::MaxUse
         } else {
             HoldBack::No
         };
@@ -294,11 +294,11 @@
         }
     }
 
-    fn unit_is_quiet(&self, unit: usize) -> bool {
+    fn unit_is_unused(&self, unit: usize) -> bool {
         self.context
             .services
             .values()
-            .all(|service| service.gate.unit_is_quiet(unit))
+            .all(|service| service.gate.unit_is_unused(unit))
     }
 
     /// Stops using units first, then writes that they are free.
@@ -382,7 +382,7 @@
                     HoldBack::No
                 } else {
                     emit(Event::UnitsTakenOver, format_args!("{}", taken_over.len()));
-                    HoldBack::LongestUse
+                    HoldBack::MaxUse
                 };
                 self.use_table(table, hold_back);
                 emit(Event::UnitsClaimed, format_args!("{count} now"));
@@ -421,7 +421,7 @@
         let quiet: Vec<usize> = owned
             .iter()
             .copied()
-            .filter(|unit| self.unit_is_quiet(*unit))
+            .filter(|unit| self.unit_is_unused(*unit))
             .collect();
         if quiet.len() < owned.len() && waited < LEAVE_LOANS_WAIT_MS {
             return false;
--- a/crates/daemon/src/control/voids.rs
+++ b/crates/daemon/src/control/voids.rs
@@ -42,6 +42,6 @@
             .ledger
             .lock()
             .unwrap_or_else(PoisonError::into_inner);
-        ledger.void(&ticket, wall_ms) == brasswinch_decide::once::TicketState::Voided
+        ledger.void(&ticket, wall_ms) == brasswinch_decide::ticket_ledger::TicketState::Voided
     }
 }
--- a/crates/daemon/src/gate.rs
+++ b/crates/daemon/src/gate.rs
@@ -74,7 +74,7 @@
         idle,
         busy,
         borrowed,
-        lent,
+        loaned,
     } = state.pool.counts(now);
     let (waited_ms, waiting) = (waited.as_millis(), state.waiting.len());
     let asked_ms = now.saturating_sub(state.asked_at);
@@ -82,7 +82,7 @@
         Event::SlotMissing,
         format_args!(
             "service={} waited_ms={waited_ms} held={held} idle={idle} busy={busy} \
-             borrowed={borrowed} lent={lent} waiting={waiting} asked_ms_ago={asked_ms}",
+             borrowed={borrowed} lent={loaned} waiting={waiting} asked_ms_ago={asked_ms}",
             service.key
         ),
     );
@@ -187,11 +187,11 @@
                 Err(_) => {}
             }
             // A slot that is ready by now is known to nobody yet.
-            let warmer_in = self.change(service, |state, now| state.warmer_in(now));
+            let warm_up_wait_ms = self.change(service, |state, now| state.warm_up_wait_ms(now));
             if let Ok(permit) = receiver.try_recv() {
                 return Ok(permit);
             }
-            match warmer_in.filter(|_| !is_last) {
+            match warm_up_wait_ms.filter(|_| !is_last) {
                 Some(warmer_ms) => wait = Duration::from_millis(warmer_ms),
                 None => break,
             }
@@ -219,7 +219,7 @@
     ) {
         self.change(service, |state, now| {
             for (health, leaving) in state.health.iter_mut().zip(announced) {
-                health.set_announced(*leaving, now);
+                health.set_config_leaving(*leaving, now);
             }
             state.eligible = (0..announced.len()).filter(|i| !announced[*i]).collect();
             let capacity = state.eligible.len() as u32 * state.slots_per_upstream;
@@ -291,8 +291,8 @@
     }
 
     /// Whether a unit's slots are all at rest here.
-    pub(crate) fn unit_is_quiet(&self, unit: usize) -> bool {
-        self.lock().pool.unit_is_quiet(unit)
+    pub(crate) fn unit_is_unused(&self, unit: usize) -> bool {
+        self.lock().pool.unit_is_unused(unit)
     }
 
     /// Lets nothing more through. Work in flight goes on.
@@ -429,14 +429,14 @@
 
     /// How long it takes until an upstream that is warming up takes one more request, in
     /// milliseconds, where there is an idle slot for it.
-    fn warmer_in(&self, now: Millis) -> Option<Millis> {
+    fn warm_up_wait_ms(&self, now: Millis) -> Option<Millis> {
         if self.pool.counts(now).idle == 0 {
             return None;
         }
         let eligible = self.eligible.iter();
         let warming = eligible
             .filter_map(|upstream| self.health.get(*upstream))
-            .filter_map(|health| health.warmer_in(self.slots_per_upstream, now));
+            .filter_map(|health| health.warm_up_wait_ms(self.slots_per_upstream, now));
         warming.min()
     }
 
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -10,7 +10,7 @@
 use arc_swap::{ArcSwap, ArcSwapOption};
 use brasswinch_decide::blocks::BlockTable;
 use brasswinch_decide::members::BoxState;
-use brasswinch_decide::once::TicketLedger;
+use brasswinch_decide::ticket_ledger::TicketLedger;
 use brasswinch_observe::{Event, LatencyTable, Metrics, emit};
 use brasswinch_settings::{ServiceSettings, Settings};
 use brasswinch_store::Store;
--- a/crates/daemon/src/steering.rs
+++ b/crates/daemon/src/steering.rs
@@ -5,7 +5,7 @@
 use brasswinch_decide::regions::{RegionFactors, RegionReport};
 use brasswinch_decide::selector::Selector;
 use brasswinch_decide::shift::{Shares, ShiftState};
-use brasswinch_decide::zone_rank::{self, ZoneRoom};
+use brasswinch_decide::zone_rank::{self, ZoneCapacity};
 use brasswinch_types::{ErrorKind, Millis, Region, ServicePlan, Zone};
 use std::sync::PoisonError;
 
@@ -92,7 +92,7 @@
     region: &Region,
     caller_zone: &Zone,
 ) -> Vec<Zone> {
-    let (zones, rooms): (Vec<Zone>, Vec<ZoneRoom>) = context
+    let (zones, rooms): (Vec<Zone>, Vec<ZoneCapacity>) = context
         .settings
         .deployment
         .zones_of(region)
@@ -104,8 +104,8 @@
                 return None;
             }
             let cell = &service.zone_loads[index];
-            let room = ZoneRoom {
-                near: &zone == caller_zone,
+            let room = ZoneCapacity {
+                is_local: &zone == caller_zone,
                 idle: cell.idle(),
                 total: cell.total(),
             };
--- a/crates/daemon/src/traffic/ticket.rs
+++ b/crates/daemon/src/traffic/ticket.rs
@@ -4,7 +4,7 @@
 use crate::context::Context;
 use crate::control::Command;
 use crate::service::ServiceRuntime;
-use brasswinch_decide::once::Presented;
+use brasswinch_decide::ticket_ledger::PresentedRequest;
 use brasswinch_types::{ErrorKind, Ticket};
 use http::HeaderMap;
 use std::sync::PoisonError;
@@ -51,7 +51,7 @@
         .ticket_key
         .open(text)
         .map_err(|_| ErrorKind::TicketInvalid)?;
-    let presented = Presented {
+    let presented = PresentedRequest {
         service: &service.key,
         key,
     };
--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -48,7 +48,7 @@
 impl UpstreamHealth {
     /// Sets whether the configuration in force marks the upstream as leaving. Only the
     /// configuration can clear this; the upstream then warms up again.
-    pub fn set_announced(&mut self, leaving: bool, now: Millis) {
+    pub fn set_config_leaving(&mut self, leaving: bool, now: Millis) {
         if self.config_leaving && !leaving {
             self.warm_up_started_at = Some(now);
         }
@@ -135,7 +135,7 @@
 
     /// Returns the time in milliseconds until one more request may be sent, if warming up is
     /// the only reason that none may be sent now.
-    pub fn warmer_in(&self, slots: u32, now: Millis) -> Option<Millis> {
+    pub fn warm_up_wait_ms(&self, slots: u32, now: Millis) -> Option<Millis> {
         if self.is_leaving() || now < self.closed_until {
             return None;
         }
--- a/crates/decide/src/members.rs
+++ b/crates/decide/src/members.rs
@@ -118,7 +118,7 @@
 
     /// Records a heartbeat of `id`, received directly or relayed by a neighbour; the next is
     /// due within `interval_ms`. Heartbeats of another incarnation are ignored.
-    pub fn heard(
+    pub fn record_heartbeat(
         &mut self,
         id: &BoxId,
         incarnation: Incarnation,
@@ -136,7 +136,7 @@
     }
 
     /// Records that the link to `id` broke; it counts as silent until its next heartbeat.
-    pub fn lost(&mut self, id: &BoxId) {
+    pub fn record_link_loss(&mut self, id: &BoxId) {
         if let Some(member) = self.members.get_mut(id) {
             member.alive_until = None;
         }
@@ -169,7 +169,7 @@
     }
 
     /// Whether a heartbeat of `id` arrived recently.
-    pub fn is_heard(&self, id: &BoxId, now: Millis) -> bool {
+    pub fn is_alive(&self, id: &BoxId, now: Millis) -> bool {
         self.members
             .get(id)
             .and_then(|member| member.alive_until)
@@ -180,7 +180,7 @@
     pub fn serving_in(&self, zone: &Zone, now: Millis) -> Vec<&BoxRecord> {
         self.records()
             .filter(|record| &record.zone == zone && record.state == BoxState::Serving)
-            .filter(|record| self.is_heard(&record.id, now))
+            .filter(|record| self.is_alive(&record.id, now))
             .collect()
     }
 
@@ -200,7 +200,7 @@
     pub fn silent_in(&self, zone: &Zone, now: Millis) -> Vec<BoxId> {
         self.known_in(zone)
             .into_iter()
-            .filter(|record| !self.is_heard(&record.id, now))
+            .filter(|record| !self.is_alive(&record.id, now))
             .map(|record| record.id.clone())
             .collect()
     }
--- a/crates/decide/src/slots.rs
+++ b/crates/decide/src/slots.rs
@@ -81,7 +81,7 @@
     pub borrowed: u32,
     /// Slots on loan to other boxes.
     #[serde(rename = "lent")]
-    pub lent: u32,
+    pub loaned: u32,
 }
 
 /// Who owns a slot, and whether this box may use it.
@@ -371,7 +371,7 @@
     }
 
     /// Whether no slot of `unit` is busy here or lent, so that the unit can be given up.
-    pub fn unit_is_quiet(&self, unit: usize) -> bool {
+    pub fn unit_is_unused(&self, unit: usize) -> bool {
         self.slots
             .iter()
             .enumerate()
@@ -392,7 +392,7 @@
             match entry.ownership {
                 Ownership::Own | Ownership::HeldBack { .. } => counts.held += 1,
                 Ownership::Borrowed { .. } => counts.borrowed += 1,
-                Ownership::Loaned { .. } => counts.lent += 1,
+                Ownership::Loaned { .. } => counts.loaned += 1,
                 Ownership::Other => {}
             }
         }
@@ -466,7 +466,7 @@
         }
         entry.ownership = match hold_back {
             HoldBack::No => Ownership::Own,
-            HoldBack::LongestUse => Ownership::HeldBack {
+            HoldBack::MaxUse => Ownership::HeldBack {
                 until: now + max_use_ms,
             },
         };
@@ -480,5 +480,5 @@
     No,
     /// They can, for the longest possible use: the previous owner died, or was this box
     /// itself before a restart.
-    LongestUse,
+    MaxUse,
 }
--- a/crates/decide/src/once.rs
+++ b/crates/decide/src/ticket_ledger.rs
@@ -22,7 +22,7 @@
 
 /// The parts of a request that must match its ticket.
 #[derive(Clone, Copy, Debug)]
-pub struct Presented<'a> {
+pub struct PresentedRequest<'a> {
     /// The service that the request names.
     pub service: &'a ServiceKey,
     /// The caller's own key, if it sent one.
@@ -55,7 +55,7 @@
     pub fn admit(
         &mut self,
         ticket: &Ticket,
-        presented: Presented<'_>,
+        presented: PresentedRequest<'_>,
         wall_ms: u64,
     ) -> Result<(), ErrorKind> {
         let same_key = ticket.key.as_deref() == presented.key;
--- a/crates/decide/src/unit_claims.rs
+++ b/crates/decide/src/unit_claims.rs
@@ -15,12 +15,12 @@
 
 /// Tracks how long the owners of units have been missing from the platform's list.
 #[derive(Debug, Default)]
-pub struct ListWatch {
+pub struct ListTracker {
     missing_since: BTreeMap<BoxId, Millis>,
     seen: BTreeSet<BoxId>,
 }
 
-impl ListWatch {
+impl ListTracker {
     /// Processes a reading of the list; `holders` are the boxes that own units.
     pub fn observe(&mut self, listed: &BTreeSet<BoxId>, holders: &[BoxId], now: Millis) {
         self.seen.extend(listed.iter().cloned());
--- a/crates/decide/src/zone_rank.rs
+++ b/crates/decide/src/zone_rank.rs
@@ -7,9 +7,9 @@
 
 /// The capacity of a candidate zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ZoneRoom {
+pub struct ZoneCapacity {
     /// Whether it is the caller's own zone.
-    pub near: bool,
+    pub is_local: bool,
     /// Idle slots, minus the callers sent there since the last load report.
     pub idle: u32,
     /// Total slots.
@@ -19,7 +19,7 @@
 /// A zone has spare capacity while more than 1/`SPARE_CAPACITY_DIVISOR` of its slots are idle.
 const SPARE_CAPACITY_DIVISOR: u32 = 4;
 
-impl ZoneRoom {
+impl ZoneCapacity {
     fn has_spare_capacity(&self) -> bool {
         self.idle * SPARE_CAPACITY_DIVISOR > self.total
     }
@@ -32,12 +32,12 @@
 }
 
 /// Returns the indexes of `zones`, best first. `draw` returns random numbers in (0, 1].
-pub fn rank(zones: &[ZoneRoom], mut draw: impl FnMut() -> f64) -> Vec<usize> {
+pub fn rank(zones: &[ZoneCapacity], mut draw: impl FnMut() -> f64) -> Vec<usize> {
     let mut order: Vec<(bool, f64, usize)> = zones
         .iter()
         .enumerate()
         .map(|(index, zone)| {
-            let first = zone.near && zone.has_spare_capacity();
+            let first = zone.is_local && zone.has_spare_capacity();
             // Weighted sampling: a zone has the smallest of the exponential variates with a
             // probability proportional to its weight.
             let variate = -draw().ln() / zone.weight();
--- a/crates/decide/tests/once.rs
+++ b/crates/decide/tests/once.rs
@@ -2,7 +2,9 @@
 //! that go forwards and backwards.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
-use brasswinch_decide::once::{CLOCK_MARGIN_MS, Presented, TicketLedger, TicketState};
+use brasswinch_decide::ticket_ledger::{
+    CLOCK_MARGIN_MS, PresentedRequest, TicketLedger, TicketState,
+};
 use brasswinch_types::{BoxId, ErrorKind, Incarnation, ServiceKey, Ticket};
 
 const EXPIRES_MS: u64 = 100_000;
@@ -28,7 +30,7 @@
 
 fn admit(ledger: &mut TicketLedger, ticket: &Ticket, wall_ms: u64) -> Result<(), ErrorKind> {
     let service = service();
-    let presented = Presented {
+    let presented = PresentedRequest {
         service: &service,
         key: Some("order-77"),
     };
@@ -84,15 +86,15 @@
 fn a_ticket_is_valid_for_its_service_and_key_only() {
     let mut ledger = ledger(5);
     let other = ServiceKey::new("kavach", "rate-desk");
-    let wrong_service = Presented {
+    let wrong_service = PresentedRequest {
         service: &other,
         key: Some("order-77"),
     };
-    let wrong_key = Presented {
+    let wrong_key = PresentedRequest {
         service: &service(),
         key: Some("order-78"),
     };
-    let no_key = Presented {
+    let no_key = PresentedRequest {
         service: &service(),
         key: None,
     };
--- a/crates/decide/tests/places.rs
+++ b/crates/decide/tests/places.rs
@@ -133,18 +133,18 @@
     let mut members = Members::new(BoxId::new("me"));
     members.merge(record(1, 1, 5, 1));
     let id = BoxId::new("box-1-1");
-    assert!(!members.is_heard(&id, 1_000));
-    members.heard(&id, Incarnation(4), 100, 1_000);
-    assert!(!members.is_heard(&id, 1_000));
-    members.heard(&id, Incarnation(5), 100, 1_000);
-    assert!(members.is_heard(&id, 1_399));
-    assert!(!members.is_heard(&id, 1_400));
+    assert!(!members.is_alive(&id, 1_000));
+    members.record_heartbeat(&id, Incarnation(4), 100, 1_000);
+    assert!(!members.is_alive(&id, 1_000));
+    members.record_heartbeat(&id, Incarnation(5), 100, 1_000);
+    assert!(members.is_alive(&id, 1_399));
+    assert!(!members.is_alive(&id, 1_400));
     let silent = members.silent_in(&Zone::new("zone-1"), 1_400);
     assert_eq!(silent, std::slice::from_ref(&id));
-    members.heard(&id, Incarnation(5), 100, 1_500);
+    members.record_heartbeat(&id, Incarnation(5), 100, 1_500);
     members.merge(record(1, 1, 6, 1));
     assert!(
-        !members.is_heard(&id, 1_500),
+        !members.is_alive(&id, 1_500),
         "no heartbeat of the new incarnation has arrived"
     );
 }
@@ -163,7 +163,7 @@
         let mut health = UpstreamHealth::default();
         assert!(health.cost(4, 0).is_some());
         match source {
-            0 => health.set_announced(true, 0),
+            0 => health.set_config_leaving(true, 0),
             1 => health.set_listed_leaving(true),
             _ => health.report(report(7, true)),
         }
@@ -176,10 +176,10 @@
 #[test]
 fn an_upstream_marked_leaving_by_the_configuration_stays_closed_whatever_it_reports() {
     let mut health = UpstreamHealth::default();
-    health.set_announced(true, 0);
+    health.set_config_leaving(true, 0);
     health.report(report(9, false));
     assert_eq!(health.cost(4, 0), None);
-    health.set_announced(false, 10_000);
+    health.set_config_leaving(false, 10_000);
     assert!(health.cost(4, 10_000).is_some());
 }
 
@@ -198,15 +198,19 @@
 #[test]
 fn an_upstream_that_warms_up_tells_when_it_takes_one_more() {
     let mut health = UpstreamHealth::default();
-    assert_eq!(health.warmer_in(4, 0), None, "it takes one now");
+    assert_eq!(health.warm_up_wait_ms(4, 0), None, "it takes one now");
     health.started(0);
-    assert_eq!(health.warmer_in(4, 100), Some(2_400));
+    assert_eq!(health.warm_up_wait_ms(4, 100), Some(2_400));
     assert!(health.cost(4, 2_499).is_none() && health.cost(4, 2_500).is_some());
-    assert_eq!(health.warmer_in(4, 2_500), None);
+    assert_eq!(health.warm_up_wait_ms(4, 2_500), None);
     (0..3).for_each(|_| health.started(2_500));
-    assert_eq!(health.warmer_in(4, 5_000), None, "its slots are in use");
+    assert_eq!(
+        health.warm_up_wait_ms(4, 5_000),
+        None,
+        "its slots are in use"
+    );
     health.set_listed_leaving(true);
-    assert_eq!(health.warmer_in(4, 100), None);
+    assert_eq!(health.warm_up_wait_ms(4, 100), None);
 }
 
 #[test]
@@ -287,9 +291,9 @@
 
 #[test]
 fn zones_that_all_seem_full_share_the_callers_and_the_own_zone_goes_first_while_it_has_room() {
-    use brasswinch_decide::zone_rank::{ZoneRoom, rank};
-    let zone = |near, idle| ZoneRoom {
-        near,
+    use brasswinch_decide::zone_rank::{ZoneCapacity, rank};
+    let zone = |is_local, idle| ZoneCapacity {
+        is_local,
         idle,
         total: 8,
     };
@@ -300,7 +304,7 @@
             .wrapping_add(1);
         ((state >> 33) + 1) as f64 / (1_u64 << 31) as f64
     };
-    let mut count_firsts = |zones: &[ZoneRoom]| {
+    let mut count_firsts = |zones: &[ZoneCapacity]| {
         let mut counts = vec![0; zones.len()];
         for _ in 0..10_000 {
             counts[rank(zones, &mut draw)[0]] += 1;
--- a/crates/decide/tests/slots.rs
+++ b/crates/decide/tests/slots.rs
@@ -266,7 +266,7 @@
             LOAD,
             TERMS,
             &round_robin_table(),
-            HoldBack::LongestUse,
+            HoldBack::MaxUse,
             self.now,
         );
         let mut in_use = Vec::new();
--- a/crates/decide/tests/unit_claims.rs
+++ b/crates/decide/tests/unit_claims.rs
@@ -2,7 +2,7 @@
 //! shares, and only boxes gone from the platform's list lose their units.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
-use brasswinch_decide::unit_claims::{GONE_AFTER_MS, ListWatch, claim, give_up, owned, surplus};
+use brasswinch_decide::unit_claims::{GONE_AFTER_MS, ListTracker, claim, give_up, owned, surplus};
 use brasswinch_types::{BoxId, Incarnation, UNITS, UnitTable, unit_of_slot};
 use std::collections::BTreeSet;
 
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_box_counts_as_gone_only_after_the_list_has_dropped_it_for_a_while() {
-    let mut watch = ListWatch::default();
+    let mut watch = ListTracker::default();
     let listed: BTreeSet<BoxId> = [id(0)].into();
     watch.observe(&listed, &[id(0), id(1)], 0);
     // Never seen in the list, so it may be too new for it.
