--- a/crates/edge/src/asking.rs
+++ b/crates/edge/src/asking.rs
@@ -6,7 +6,7 @@
 
 use crate::context::Context;
 use crate::datagram::Datagram;
-use crate::waiters::Waiters;
+use crate::pending_replies::PendingReplies;
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
     Advice, AdviceQuery, Choice, CompletionReport, LoadReport, UpstreamOutcome, UpstreamRequest,
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(crate) struct Asking {
     socket: Arc<UdpSocket>,
-    waiters: Waiters<Advice>,
+    pending_replies: PendingReplies<Advice>,
     /// Unreachable coordinators, each with when to try it again.
     unreachable: Mutex<HashMap<BoxId, Instant>>,
 }
@@ -40,7 +40,7 @@
     pub(crate) fn new(socket: Arc<UdpSocket>) -> Self {
         Self {
             socket,
-            waiters: Waiters::default(),
+            pending_replies: PendingReplies::default(),
             unreachable: Mutex::default(),
         }
     }
@@ -158,9 +158,11 @@
         address: SocketAddr,
         advice_query: AdviceQuery,
     ) -> Option<Advice> {
-        let waiting = self.asking.waiters.wait(advice_query.id);
+        let waiting = self.asking.pending_replies.wait(advice_query.id);
         self.send_datagram(&Datagram::AdviceQuery(advice_query), address);
-        let advice = waiting.within(self.settings.keeper_wait).await;
+        let advice = waiting
+            .within(self.settings.coordinator_reply_timeout)
+            .await;
         match advice {
             Some(_) => self.asking.mark_reachable(coordinator),
             None => self.asking.mark_unreachable(coordinator),
@@ -190,7 +192,7 @@
             return;
         }
         // Late replies are dropped: no request waits for them any more.
-        let _ = self.asking.waiters.answered(advice.id, advice);
+        let _ = self.asking.pending_replies.answered(advice.id, advice);
     }
 
     /// Handles the completion report of a request that this box coordinates.
--- a/crates/edge/src/budgets.rs
+++ b/crates/edge/src/budgets.rs
@@ -1,7 +1,7 @@
 //! Retry budgets, one per service, shared by all boxes.
 
 use crate::context::Context;
-use crate::status::RepeatsLeft;
+use crate::status::RetriesLeft;
 use brasswinch_routing::{RetryBudget, RetryBudgetSettings};
 use brasswinch_types::{Millis, Service};
 use std::collections::HashMap;
@@ -27,15 +27,15 @@
     }
 
     /// Returns this box's remaining retries of each service, sorted by service.
-    pub(crate) fn repeats_left(&self) -> Vec<RepeatsLeft> {
+    pub(crate) fn retries_left(&self) -> Vec<RetriesLeft> {
         let (boxes, now) = (self.sharing_boxes(), self.clock.now());
         let budgets = self.budgets.by_service.lock();
         let budgets = budgets.unwrap_or_else(PoisonError::into_inner);
-        let left = |(service, budget): (&Service, &RetryBudget)| RepeatsLeft {
+        let left = |(service, budget): (&Service, &RetryBudget)| RetriesLeft {
             service: service.clone(),
             left: budget.left(boxes, now).max(0.0),
         };
-        let mut all: Vec<RepeatsLeft> = budgets.iter().map(left).collect();
+        let mut all: Vec<RetriesLeft> = budgets.iter().map(left).collect();
         all.sort_by(|a, b| a.service.cmp(&b.service));
         all
     }
--- a/crates/edge/src/catch_up.rs
+++ b/crates/edge/src/catch_up.rs
@@ -1,7 +1,7 @@
 //! Fetches updates from boxes that know a newer revision of the store.
 
 use crate::context::Context;
-use crate::relay::{self, Answered, RelayError};
+use crate::relay::{self, CatchUpReply, RelayError};
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{Candidate, Distance, Liveness, Member, PeerSelector, Revision, Scope};
 use std::net::SocketAddr;
@@ -65,8 +65,8 @@
     scope: Scope,
     first: Candidate,
     sources: &mut PeerSelector,
-) -> (Candidate, Result<Answered, RelayError>) {
-    let mut first_request = pin!(relay::ask(context, first.peer, scope));
+) -> (Candidate, Result<CatchUpReply, RelayError>) {
+    let mut first_request = pin!(relay::request_changes(context, first.peer, scope));
     if let Ok(reply) = timeout(HEDGE_DELAY, &mut first_request).await {
         return (first, reply);
     }
@@ -77,7 +77,7 @@
     let Some(second) = sources.choose(&others, rand::random(), now) else {
         return (first, first_request.await);
     };
-    let mut second_request = pin!(relay::ask(context, second.peer, scope));
+    let mut second_request = pin!(relay::request_changes(context, second.peer, scope));
     tokio::select! {
         reply = &mut first_request => match reply {
             Ok(_) => (first, reply),
@@ -90,10 +90,10 @@
     }
 }
 
-fn apply_reply(context: &Context, peer: SocketAddr, scope: Scope, reply: Answered) {
+fn apply_reply(context: &Context, peer: SocketAddr, scope: Scope, reply: CatchUpReply) {
     let now = context.clock.now();
     let age = context.view_age_ms(scope);
-    let learned = context.fleet().catch_up(reply.news, now);
+    let learned = context.fleet().catch_up(reply.changes, now);
     match learned {
         Ok(true) => context.publish(),
         Ok(false) => {}
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -5,9 +5,9 @@
 use crate::clock::Clock;
 use crate::connections::ConnectionPool;
 use crate::dialect::Dialect;
-use crate::figures::Figures;
 use crate::fleet_size::KnownFleetSize;
-use crate::health::HealthQuestions;
+use crate::health::HealthProbes;
+use crate::metrics::Metrics;
 use crate::quarantine::QuarantineTasks;
 use crate::quotas::QuotaTasks;
 use crate::settings::EdgeSettings;
@@ -102,12 +102,12 @@
     pub(crate) clock: Clock,
     pub(crate) in_force: ArcSwapOption<InForce>,
     pub(crate) pool: Arc<ConnectionPool>,
-    pub(crate) figures: Figures,
+    pub(crate) metrics: Metrics,
     pub(crate) store_calls: StoreCalls,
     /// Requests in progress.
     pub(crate) in_flight: AtomicUsize,
     /// Buffered body bytes.
-    pub(crate) held_bytes: AtomicUsize,
+    pub(crate) buffered_bytes: AtomicUsize,
     /// Requests since the start.
     pub(crate) requests: AtomicU64,
     /// Wakes the catch-up tasks.
@@ -124,7 +124,7 @@
     /// Rate limits that upstreams set.
     pub(crate) upstream_limits: UpstreamLimitTasks,
     /// Health probes of upstreams.
-    pub(crate) health_questions: HealthQuestions,
+    pub(crate) health_probes: HealthProbes,
     /// Known fleet size.
     pub(crate) fleet_size: KnownFleetSize,
     /// Quarantine of requests that crash upstreams.
@@ -178,7 +178,7 @@
             store_watch: StoreWatch::new(&settings, &swim),
             asking: Asking::new(socket),
             quotas: QuotaTasks::new(settings.id.clone(), settings.bounds.quota),
-            health_questions: HealthQuestions::default(),
+            health_probes: HealthProbes::default(),
             fleet_size: KnownFleetSize::default(),
             quarantine: QuarantineTasks::new(settings.id.clone()),
             upstream_limits: UpstreamLimitTasks::new(settings.id.clone(), settings.zones.clone()),
@@ -190,10 +190,10 @@
                 settings.addresses.clients.ip(),
                 settings.clock.clone(),
             )),
-            figures: Figures::default(),
+            metrics: Metrics::default(),
             store_calls: StoreCalls::default(),
             in_flight: AtomicUsize::new(0),
-            held_bytes: AtomicUsize::new(0),
+            buffered_bytes: AtomicUsize::new(0),
             requests: AtomicU64::new(0),
             peer_updates: PeerUpdates::default(),
             has_updates: Notify::new(),
--- a/crates/edge/src/counted.rs
+++ b/crates/edge/src/counted.rs
@@ -31,7 +31,7 @@
 impl<'a> BufferedBytes<'a> {
     pub(crate) fn reserve(context: &'a Context, bytes: usize) -> Option<Self> {
         let max_bytes = context.settings.memory_bytes / BUFFER_MEMORY_DIVISOR;
-        let before = context.held_bytes.fetch_add(bytes, Ordering::Relaxed);
+        let before = context.buffered_bytes.fetch_add(bytes, Ordering::Relaxed);
         let reservation = Self { context, bytes };
         (before + bytes <= max_bytes).then_some(reservation)
     }
@@ -40,7 +40,7 @@
 impl Drop for BufferedBytes<'_> {
     fn drop(&mut self) {
         self.context
-            .held_bytes
+            .buffered_bytes
             .fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
--- a/crates/edge/src/credentials.rs
+++ b/crates/edge/src/credentials.rs
@@ -27,7 +27,7 @@
     /// Whether the keys that this box knows may still be accepted. If a maximum age is set, a box
     /// that has lost contact with the store rejects all keys, since one may have been revoked.
     pub(crate) fn may_trust_keys(&self) -> bool {
-        let Some(max_age_s) = self.settings.bounds.longest_unconfirmed_keys_s else {
+        let Some(max_age_s) = self.settings.bounds.max_unconfirmed_keys_s else {
             return true;
         };
         let age_ms = self.view_age_ms(Scope::Operator);
--- a/crates/edge/src/datagram.rs
+++ b/crates/edge/src/datagram.rs
@@ -1,6 +1,6 @@
 //! The datagrams that boxes send each other, encoded in CBOR.
 
-use crate::health::ColdNews;
+use crate::health::ColdNotice;
 use brasswinch_routing::{
     Advice, AdviceQuery, CompletionReport, CrashReport, LimitQuery, LimitReply, LimitUpdate,
     QuotaCount, QuotaReply, SwimMessage,
@@ -42,5 +42,5 @@
     LimitUpdate(LimitUpdate),
     /// Announces that an upstream is cold.
     #[serde(rename = "k")]
-    ColdNews(ColdNews),
+    ColdNotice(ColdNotice),
 }
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -173,10 +173,10 @@
         Ok(_) => "answered",
         Err(failure) => failure.kind().code(),
     };
-    context.figures.count(&routed.service, outcome);
+    context.metrics.count(&routed.service, outcome);
     if result.is_ok() {
         let (service, kind) = (&routed.service, routed.route.kind);
-        context.figures.answered(service, kind, arrived.elapsed());
+        context.metrics.answered(service, kind, arrived.elapsed());
     }
     result
 }
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -103,7 +103,7 @@
         Ok(Datagram::LimitQuery(question)) => context.handle_limit_query(&question, from),
         Ok(Datagram::LimitReply(reply)) => context.handle_limit_reply(reply),
         Ok(Datagram::LimitUpdate(news)) => context.handle_limit_update(&news),
-        Ok(Datagram::ColdNews(news)) => context.hear_cold(&news),
+        Ok(Datagram::ColdNotice(news)) => context.handle_cold_notice(&news),
         Ok(Datagram::Swim(message)) => {
             if let SwimMessage::Known { id, views, failing } = &message {
                 context.handle_view_report(id, views, *failing);
--- a/crates/edge/src/health.rs
+++ b/crates/edge/src/health.rs
@@ -46,7 +46,7 @@
 
 /// Notifies other boxes that an upstream is cold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ColdNews {
+pub struct ColdNotice {
     /// The upstream.
     #[serde(rename = "l")]
     pub incarnation: UpstreamIncarnation,
@@ -57,7 +57,7 @@
 
 /// Counts health probes by result.
 #[derive(Debug, Default)]
-pub(crate) struct HealthQuestions {
+pub(crate) struct HealthProbes {
     pub(crate) answered: AtomicU64,
     pub(crate) unanswered: AtomicU64,
 }
@@ -76,7 +76,7 @@
 }
 
 /// Probes upstreams whenever the store doesn't respond, for as long as the process runs.
-pub(crate) async fn ask_while_silent(context: Arc<Context>) {
+pub(crate) async fn probe_while_store_silent(context: Arc<Context>) {
     context.reached(Lifecycle::Serving).await;
     let serves_from = context.clock.now();
     loop {
@@ -110,7 +110,7 @@
 async fn probe(context: Arc<Context>, record: UpstreamRecord) {
     let result = timeout(PROBE_TIMEOUT, request_health(&context, &record)).await;
     let result = result.unwrap_or(Err(HealthError::TimedOut));
-    let counts = &context.health_questions;
+    let counts = &context.health_probes;
     match result {
         Ok(cold) => {
             counts.answered.fetch_add(1, Ordering::Relaxed);
@@ -223,13 +223,13 @@
 
     /// Records that an upstream is cold, and notifies all boxes.
     async fn announce_cold(&self, record: &UpstreamRecord, cold: ColdTime) {
-        let notice = ColdNews {
+        let notice = ColdNotice {
             incarnation: record.incarnation(),
             for_ms: cold.ms(),
         };
         self.record_cold(&notice, "health");
         let boxes = self.serving_addresses();
-        let datagram = Datagram::ColdNews(notice);
+        let datagram = Datagram::ColdNotice(notice);
         self.send_to_all(&datagram, &boxes);
         sleep(RESEND_DELAY).await;
         self.send_to_all(&datagram, &boxes);
@@ -249,11 +249,11 @@
     }
 
     /// Handles another box's notice that an upstream is cold.
-    pub(crate) fn hear_cold(&self, notice: &ColdNews) {
+    pub(crate) fn handle_cold_notice(&self, notice: &ColdNotice) {
         self.record_cold(notice, "peer");
     }
 
-    fn record_cold(&self, notice: &ColdNews, source: &str) {
+    fn record_cold(&self, notice: &ColdNotice, source: &str) {
         let now = self.clock.now();
         let is_new = self
             .placement()
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -19,12 +19,13 @@
 mod dialect;
 mod exchange;
 mod failure;
-mod figures;
 mod fleet_size;
 mod follow;
 mod gossip;
 mod health;
 mod look_up;
+mod metrics;
+mod pending_replies;
 mod quarantine;
 mod quarantine_store;
 mod quotas;
@@ -42,18 +43,17 @@
 mod telling;
 mod upstream_limits;
 mod upstream_signals;
-mod waiters;
 mod watching;
 
 pub use clock::Clock;
 pub use context::{Context, Lifecycle};
 pub use datagram::Datagram;
 pub use dialect::Dialect;
-pub use health::ColdNews;
+pub use health::ColdNotice;
 pub use look_up::DirectoryAnswer;
-pub use settings::{EdgeAddresses, EdgeSettings, FleetBounds, KEEPER_WAIT};
+pub use settings::{COORDINATOR_REPLY_TIMEOUT, EdgeAddresses, EdgeSettings, FleetBounds};
 pub use start::{EdgeError, EdgeHandle, start};
-pub use status::{BoxStatus, RepeatsLeft, ViewStatus};
+pub use status::{BoxStatus, RetriesLeft, ViewStatus};
 pub use store::{
     Begun, BoxRegistry, FleetSizeStore, FleetStore, LeaseId, QuarantineStore, Registration,
     StoreFailure, Watched,
--- a/crates/edge/src/look_up.rs
+++ b/crates/edge/src/look_up.rs
@@ -44,7 +44,7 @@
         }
         DirectoryAnswer {
             addresses: select_boxes(&near, zone, &mut rand::rng()),
-            ttl_s: LOOKUP_TTL_S.min(self.settings.bounds.longest_lookup_ttl_s),
+            ttl_s: LOOKUP_TTL_S.min(self.settings.bounds.max_lookup_ttl_s),
         }
     }
 }
--- a/crates/edge/src/figures.rs
+++ b/crates/edge/src/metrics.rs
@@ -18,14 +18,14 @@
 
 /// Requests by service and outcome, and the latency of answered requests.
 #[derive(Debug, Default)]
-pub(crate) struct Figures {
+pub(crate) struct Metrics {
     outcomes: Mutex<BTreeMap<(Service, &'static str), u64>>,
     /// Requests to upstreams with limits, by service and whether the limit had room.
     limited: Mutex<BTreeMap<(Service, bool), u64>>,
     latency: LatencyTable,
 }
 
-impl Figures {
+impl Metrics {
     /// Counts a finished request by its outcome: the code of its error, or `answered`.
     pub(crate) fn count(&self, service: &Service, outcome: &'static str) {
         let mut outcomes = self.outcomes.lock().unwrap_or_else(PoisonError::into_inner);
@@ -88,9 +88,9 @@
 
 impl Context {
     /// Returns all metrics of the box in the text format of Prometheus.
-    pub fn figures_text(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         let mut text = String::new();
-        self.figures.write(&mut text);
+        self.metrics.write(&mut text);
         let in_flight = self.in_flight.load(Ordering::Relaxed) as f64;
         line(&mut text, "requests_in_flight", "", in_flight);
         line(
@@ -99,7 +99,7 @@
             "",
             dropped_lines() as f64,
         );
-        let buffered = self.held_bytes.load(Ordering::Relaxed) as f64;
+        let buffered = self.buffered_bytes.load(Ordering::Relaxed) as f64;
         line(&mut text, "held_body_bytes", "", buffered);
         let swim = self.swim();
         let alive = swim.members().filter(|m| m.liveness == Liveness::Alive);
@@ -119,7 +119,7 @@
                 line(&mut text, "view_age_seconds", &labels, age_ms as f64 / 1e3);
             }
         }
-        let probes = &self.health_questions;
+        let probes = &self.health_probes;
         for (outcome, count) in [
             ("answered", &probes.answered),
             ("unanswered", &probes.unanswered),
--- a/crates/edge/src/waiters.rs
+++ b/crates/edge/src/pending_replies.rs
@@ -8,11 +8,11 @@
 
 /// Requests that wait for a reply, by id.
 #[derive(Debug)]
-pub(crate) struct Waiters<A> {
+pub(crate) struct PendingReplies<A> {
     by_id: Mutex<HashMap<u64, oneshot::Sender<A>>>,
 }
 
-impl<A> Default for Waiters<A> {
+impl<A> Default for PendingReplies<A> {
     fn default() -> Self {
         Self {
             by_id: Mutex::default(),
@@ -20,7 +20,7 @@
     }
 }
 
-impl<A> Waiters<A> {
+impl<A> PendingReplies<A> {
     fn lock(&self) -> MutexGuard<'_, HashMap<u64, oneshot::Sender<A>>> {
         self.by_id.lock().unwrap_or_else(PoisonError::into_inner)
     }
@@ -30,7 +30,7 @@
         let (sender, reply) = oneshot::channel();
         self.lock().insert(id, sender);
         PendingReply {
-            waiters: self,
+            pending_replies: self,
             id,
             reply,
         }
@@ -47,7 +47,7 @@
 
 /// A reply that is waited for. Dropping it cancels the wait.
 pub(crate) struct PendingReply<'a, A> {
-    waiters: &'a Waiters<A>,
+    pending_replies: &'a PendingReplies<A>,
     id: u64,
     reply: oneshot::Receiver<A>,
 }
@@ -62,6 +62,6 @@
 
 impl<A> Drop for PendingReply<'_, A> {
     fn drop(&mut self) {
-        self.waiters.lock().remove(&self.id);
+        self.pending_replies.lock().remove(&self.id);
     }
 }
--- a/crates/edge/src/quotas.rs
+++ b/crates/edge/src/quotas.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::datagram::Datagram;
 use crate::failure::Failure;
-use crate::waiters::Waiters;
+use crate::pending_replies::PendingReplies;
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
     Admission, KnownWorkspace, MemberRecord, QuotaBounds, QuotaBox, QuotaCount, QuotaLimit,
@@ -22,14 +22,14 @@
 #[derive(Debug)]
 pub(crate) struct QuotaTasks {
     quotas: Mutex<Quotas>,
-    waiters: Waiters<QuotaReply>,
+    pending_replies: PendingReplies<QuotaReply>,
 }
 
 impl QuotaTasks {
     pub(crate) fn new(me: BoxId, bounds: QuotaBounds) -> Self {
         Self {
             quotas: Mutex::new(Quotas::new(me, bounds)),
-            waiters: Waiters::default(),
+            pending_replies: PendingReplies::default(),
         }
     }
 
@@ -129,7 +129,7 @@
         limit: QuotaLimit,
         is_last: bool,
     ) -> Admission {
-        let waiting = self.quotas.waiters.wait(query.count.id);
+        let waiting = self.quotas.pending_replies.wait(query.count.id);
         let datagram = Datagram::QuotaCount(query.count.clone());
         self.send_datagram(&datagram, query.address);
         let reply = waiting.within(REPLY_TIMEOUT).await;
@@ -172,7 +172,7 @@
 
     /// Handles a coordinator's reply or broadcast.
     pub(crate) fn handle_quota_reply(&self, reply: QuotaReply, from: SocketAddr) {
-        let Some(reply) = self.quotas.waiters.answered(reply.id, reply) else {
+        let Some(reply) = self.quotas.pending_replies.answered(reply.id, reply) else {
             return;
         };
         let Some(limit) = self.quota_limit(&reply.workspace) else {
@@ -239,7 +239,7 @@
     }
 
     /// Returns whether this box knows the coordinators of the quotas.
-    pub(crate) fn knows_quota_keepers(&self) -> bool {
+    pub(crate) fn knows_quota_coordinators(&self) -> bool {
         self.quotas.quotas().is_settled(self.clock.now())
     }
 
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -87,8 +87,8 @@
 
 /// A reply with its size and duration.
 #[derive(Debug)]
-pub(crate) struct Answered {
-    pub(crate) news: CatchUp,
+pub(crate) struct CatchUpReply {
+    pub(crate) changes: CatchUp,
     /// Length of the reply on the wire, in bytes.
     pub(crate) bytes: usize,
     pub(crate) took: Duration,
@@ -115,11 +115,11 @@
 /// # Errors
 ///
 /// Fails if the box can't be reached, stops responding, is busy, or has no data yet.
-pub(crate) async fn ask(
+pub(crate) async fn request_changes(
     context: &Context,
     peer: SocketAddr,
     scope: Scope,
-) -> Result<Answered, RelayError> {
+) -> Result<CatchUpReply, RelayError> {
     let began = Instant::now();
     let request = build_request(context, scope);
     let mut socket = timeout(REQUEST_TIMEOUT, connect_and_send(context, peer, &request))
@@ -130,13 +130,13 @@
         .map_err(|_| RelayError::ReplyTimeout)??;
     // A failed close needs no handling: the other box stops waiting by itself.
     let _ = socket.close(None).await;
-    let news = match reply {
-        Reply::Changes(news) => news,
+    let changes = match reply {
+        Reply::Changes(changes) => changes,
         Reply::NoData => return Err(RelayError::NoData),
         Reply::Busy => return Err(RelayError::Busy),
     };
-    Ok(Answered {
-        news,
+    Ok(CatchUpReply {
+        changes,
         bytes,
         took: began.elapsed(),
     })
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -31,7 +31,7 @@
 
 /// How long open connections may still bring a request after the box has closed. Such a request
 /// was sent before the client could learn of the close.
-pub(crate) const LAST_REQUESTS: Duration = Duration::from_millis(250);
+pub(crate) const CLOSE_GRACE: Duration = Duration::from_millis(250);
 
 /// Serves clients until the box is closed, then accepts the connections left in the queue.
 pub(crate) async fn serve(context: Arc<Context>, listener: TcpListener) {
@@ -82,7 +82,7 @@
         _ = connection.as_mut() => return,
         () = context.reached(Lifecycle::Closed) => {}
     }
-    if timeout(LAST_REQUESTS, connection.as_mut()).await.is_ok() {
+    if timeout(CLOSE_GRACE, connection.as_mut()).await.is_ok() {
         return;
     }
     connection.as_mut().graceful_shutdown();
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -35,14 +35,14 @@
     /// the next.
     pub max_shift: f64,
     /// Maximum time for which a client may cache a look-up's answer.
-    pub longest_lookup_ttl_s: f64,
+    pub max_lookup_ttl_s: f64,
     /// Interval at which upstreams renew their entries in the store.
     pub upstream_heartbeat_s: f64,
     /// Bounds on how far workspaces may exceed their quotas.
     pub quota: QuotaBounds,
     /// Maximum time for which a box that has lost contact with the store accepts the keys that it
     /// knows; `None` for no limit.
-    pub longest_unconfirmed_keys_s: Option<f64>,
+    pub max_unconfirmed_keys_s: Option<f64>,
 }
 
 impl Default for FleetBounds {
@@ -55,21 +55,21 @@
             retry_extra: 60.0,
             retry_window_s: 10.0,
             max_shift: 0.15,
-            longest_lookup_ttl_s: 5.0,
+            max_lookup_ttl_s: 5.0,
             upstream_heartbeat_s: 1.5,
             quota: QuotaBounds {
                 window_s: 5.0,
                 overage: 0.1,
                 slack: 20.0,
             },
-            longest_unconfirmed_keys_s: None,
+            max_unconfirmed_keys_s: None,
         }
     }
 }
 
 /// Default timeout for the reply of an upstream's owner. The round trip within a region takes about
 /// 1 ms; the rest allows for a busy CPU. A request loses this time if the owner doesn't respond.
-pub const KEEPER_WAIT: Duration = Duration::from_millis(15);
+pub const COORDINATOR_REPLY_TIMEOUT: Duration = Duration::from_millis(15);
 
 /// Settings of one box.
 #[derive(Clone, Debug)]
@@ -89,7 +89,7 @@
     /// Bandwidth of the box's link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
     /// Timeout for the reply of an upstream's owner.
-    pub keeper_wait: Duration,
+    pub coordinator_reply_timeout: Duration,
     /// Bounds of the fleet.
     pub bounds: FleetBounds,
     /// The clock of the process.
--- a/crates/edge/src/start.rs
+++ b/crates/edge/src/start.rs
@@ -112,7 +112,7 @@
     tokio::spawn(relay::serve(Arc::clone(&context), relay_listener));
     tokio::spawn(server::serve(Arc::clone(&context), listener));
     tokio::spawn(serve_when_ready(Arc::clone(&context)));
-    tokio::spawn(health::ask_while_silent(Arc::clone(&context)));
+    tokio::spawn(health::probe_while_store_silent(Arc::clone(&context)));
     tokio::spawn(sweep(Arc::clone(&context)));
     Ok(EdgeHandle { context, socket })
 }
@@ -141,7 +141,7 @@
         context.advance(Lifecycle::Closed);
         let last = began + grace.mul_f64(MAX_GRACE_FRACTION);
         // Open connections may still receive requests that were sent before they close.
-        sleep(server::LAST_REQUESTS + STAGE_POLL).await;
+        sleep(server::CLOSE_GRACE + STAGE_POLL).await;
         while context.in_flight.load(Ordering::Relaxed) > 0 && Instant::now() < last {
             sleep(STAGE_POLL).await;
         }
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -31,10 +31,10 @@
     pub services: Vec<ServiceStatus>,
     /// This box's remaining retries of each service.
     #[serde(rename = "repeats_left")]
-    pub repeats_left: Vec<RepeatsLeft>,
+    pub retries_left: Vec<RetriesLeft>,
     /// Whether the box knows which box owns which quota.
     #[serde(rename = "knows_quota_keepers")]
-    pub knows_quota_keepers: bool,
+    pub knows_quota_coordinators: bool,
     /// Quotas of workspaces that sent requests to this box.
     pub quotas: Vec<QuotaStatus>,
     /// Request limits of upstreams.
@@ -67,7 +67,7 @@
 
 /// What remains of a retry budget.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RepeatsLeft {
+pub struct RetriesLeft {
     /// The service.
     pub service: Service,
     /// Retries that this box may send now.
@@ -97,8 +97,8 @@
             views: SCOPES.map(|scope| self.view_status(scope)).to_vec(),
             evacuated_zones,
             services,
-            repeats_left: self.repeats_left(),
-            knows_quota_keepers: self.knows_quota_keepers(),
+            retries_left: self.retries_left(),
+            knows_quota_coordinators: self.knows_quota_coordinators(),
             quotas: self.quota_status(),
             limits: self.limit_status(),
             quarantine: self.quarantine_status(),
@@ -154,7 +154,7 @@
         for service in &self.services {
             write_service(f, service)?;
         }
-        for budget in &self.repeats_left {
+        for budget in &self.retries_left {
             writeln!(f, "retries left: {} {:.1}", budget.service, budget.left)?;
         }
         self.quotas
--- a/crates/edge/src/upstream_limits.rs
+++ b/crates/edge/src/upstream_limits.rs
@@ -5,7 +5,7 @@
 use crate::context::Context;
 use crate::datagram::Datagram;
 use crate::failure::Failure;
-use crate::waiters::Waiters;
+use crate::pending_replies::PendingReplies;
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
     Basis, Choice, LimitAdmission, LimitBox, LimitChange, LimitQuery, LimitRefusal, LimitReply,
@@ -26,14 +26,14 @@
 #[derive(Debug)]
 pub(crate) struct UpstreamLimitTasks {
     limits: Mutex<UpstreamLimits>,
-    waiters: Waiters<LimitReply>,
+    pending_replies: PendingReplies<LimitReply>,
 }
 
 impl UpstreamLimitTasks {
     pub(crate) fn new(me: BoxId, zones: BTreeMap<Zone, Region>) -> Self {
         Self {
             limits: Mutex::new(UpstreamLimits::new(me, zones)),
-            waiters: Waiters::default(),
+            pending_replies: PendingReplies::default(),
         }
     }
 
@@ -112,7 +112,7 @@
                 // It may have left, or asked for a backoff, while its limit's coordinator was
                 // queried.
                 if self.placement().may_send(&chosen.choice, now) {
-                    self.figures.count_limited(&chosen.choice.service, true);
+                    self.metrics.count_limited(&chosen.choice.service, true);
                     chosen.grant = Grant::Given;
                     return Ok(chosen);
                 }
@@ -120,7 +120,7 @@
             }
             Err(refusal) => refusal,
         };
-        self.figures.count_limited(&chosen.choice.service, false);
+        self.metrics.count_limited(&chosen.choice.service, false);
         let until = now + refusal.hold_off_ms;
         self.placement().hold_off(&chosen.choice, until, now);
         Err(HeldOff {
@@ -157,7 +157,7 @@
         random: f64,
     ) -> LimitAdmission {
         let ToLimitCoordinator { address, query } = message;
-        let waiting = self.upstream_limits.waiters.wait(query.id);
+        let waiting = self.upstream_limits.pending_replies.wait(query.id);
         self.send_datagram(&Datagram::LimitQuery(query), address);
         let reply = waiting.within(REPLY_TIMEOUT.min(left)).await;
         UpstreamLimits::admission_from_reply(reply.as_ref(), random)
@@ -173,7 +173,10 @@
     /// Handles a coordinator's reply.
     pub(crate) fn handle_limit_reply(&self, reply: LimitReply) {
         // Late replies are dropped: no request waits for them any more.
-        let _ = self.upstream_limits.waiters.answered(reply.id, reply);
+        let _ = self
+            .upstream_limits
+            .pending_replies
+            .answered(reply.id, reply);
     }
 
     /// Handles another box's update on an upstream's limit.
--- a/crates/edge/tests/asking.rs
+++ b/crates/edge/tests/asking.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use brasswinch_edge::{Datagram, Dialect, EdgeHandle, KEEPER_WAIT, start};
+use brasswinch_edge::{COORDINATOR_REPLY_TIMEOUT, Datagram, Dialect, EdgeHandle, start};
 use brasswinch_lab::memory_store::MemoryStore;
 use brasswinch_lab::routed_upstream::{Behaviour, Upstream};
 use brasswinch_routing::{Advice, Change};
@@ -27,7 +27,7 @@
     upstreams: Vec<Upstream>,
 }
 
-async fn fleet(boxes: usize, upstreams: usize, keeper_wait: Duration) -> Fleet {
+async fn fleet(boxes: usize, upstreams: usize, coordinator_reply_timeout: Duration) -> Fleet {
     let store = MemoryStore::default();
     store.write(Change::Config(Arc::new(config(1))));
     let mut started = Vec::new();
@@ -41,7 +41,7 @@
     for number in 0..boxes {
         let seeds = handles.first().map(|first| first.addresses().peers);
         let mut settings = settings(&format!("box-{number}"), seeds.into_iter().collect());
-        settings.keeper_wait = keeper_wait;
+        settings.coordinator_reply_timeout = coordinator_reply_timeout;
         let edge = start(settings, Dialect::default(), store.handle());
         handles.push(edge.await.unwrap());
     }
@@ -111,7 +111,7 @@
 async fn a_box_whose_keepers_never_answer_serves_as_well() {
     /// Enough boxes for advice to be requested.
     const SILENT: usize = 9;
-    let fleet = fleet(1, 3, KEEPER_WAIT).await;
+    let fleet = fleet(1, 3, COORDINATOR_REPLY_TIMEOUT).await;
     let peers = fleet.boxes[0].addresses().peers;
     for _ in 0..SILENT {
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
@@ -126,7 +126,7 @@
 
 #[tokio::test]
 async fn advice_that_nobody_asked_for_or_that_can_t_be_is_passed_over() {
-    let fleet = fleet(2, 2, KEEPER_WAIT).await;
+    let fleet = fleet(2, 2, COORDINATOR_REPLY_TIMEOUT).await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
     for fullness in [f32::NAN, f32::INFINITY, -1.0, 1e9, 0.5] {
         let advice = Datagram::Advice(Advice {
--- a/crates/edge/tests/common/mod.rs
+++ b/crates/edge/tests/common/mod.rs
@@ -5,7 +5,8 @@
 pub mod know_all;
 
 use brasswinch_edge::{
-    Clock, Dialect, EdgeAddresses, EdgeHandle, EdgeSettings, FleetBounds, KEEPER_WAIT, start,
+    COORDINATOR_REPLY_TIMEOUT, Clock, Dialect, EdgeAddresses, EdgeHandle, EdgeSettings,
+    FleetBounds, start,
 };
 use brasswinch_lab::memory_store::MemoryStore;
 use brasswinch_lab::routed_upstream::Upstream;
@@ -61,7 +62,7 @@
         seeds,
         memory_bytes: 64_000_000,
         link_mbps: 0,
-        keeper_wait: KEEPER_WAIT,
+        coordinator_reply_timeout: COORDINATOR_REPLY_TIMEOUT,
         bounds: FleetBounds::default(),
         clock: Clock::default(),
     }
--- a/crates/edge/tests/fleet_size.rs
+++ b/crates/edge/tests/fleet_size.rs
@@ -67,8 +67,8 @@
     let settings = settings("box-0", Vec::new());
     let own_part = settings.bounds.retry_extra / f64::from(FLEET) + settings.bounds.retry_ratio;
     let status = cut_off.context().status();
-    let left: f64 = status.repeats_left.iter().map(|budget| budget.left).sum();
-    assert_eq!(status.repeats_left.len(), 1);
+    let left: f64 = status.retries_left.iter().map(|budget| budget.left).sum();
+    assert_eq!(status.retries_left.len(), 1);
     assert!(left <= own_part, "{left} of {own_part}");
 }
 
--- a/crates/edge/tests/health.rs
+++ b/crates/edge/tests/health.rs
@@ -22,7 +22,7 @@
     let of_box = |text: String| text.lines().find(is_cold).unwrap().to_owned();
     let boxes = fleet.boxes.iter();
     boxes
-        .map(|handle| of_box(handle.context().figures_text()))
+        .map(|handle| of_box(handle.context().metrics_text()))
         .collect()
 }
 
--- a/crates/edge/tests/leaving_upstreams.rs
+++ b/crates/edge/tests/leaving_upstreams.rs
@@ -120,7 +120,7 @@
         let shown = format!("store_revision{{scope=\"upstreams\"}} {}", revision.0);
         let context = Arc::clone(self.edge.context());
         eventually("the change is known", || {
-            context.figures_text().contains(&shown)
+            context.metrics_text().contains(&shown)
         })
         .await;
     }
@@ -157,7 +157,7 @@
     let context = Arc::clone(fleet.edge.context());
     let all = format!("members_alive {WATCHERS}");
     eventually("all boxes are known", || {
-        context.figures_text().contains(&all)
+        context.metrics_text().contains(&all)
     })
     .await;
     fleet.end_watch().await;
--- a/crates/edge/tests/suspended_boxes.rs
+++ b/crates/edge/tests/suspended_boxes.rs
@@ -80,7 +80,7 @@
         suspendable
             .edge
             .context()
-            .figures_text()
+            .metrics_text()
             .contains("requests_in_flight 1")
     };
     eventually("the box has the head", head_received).await;
--- a/crates/edge/tests/upstream_limits.rs
+++ b/crates/edge/tests/upstream_limits.rs
@@ -57,7 +57,7 @@
         let context = handle.context();
         let knows = |held: &LimitStatus| held.upstream.as_str() == home.id;
         assert!(context.status().limits.iter().any(knows));
-        let text = context.figures_text();
+        let text = context.metrics_text();
         assert!(text.contains("brasswinch_upstreams_limited 1"), "{text}");
         assert!(text.contains("limit_requests_total{service=\"desk\",outcome=\"held_off\"}"));
     }
--- a/crates/edge/tests/upstream_signals.rs
+++ b/crates/edge/tests/upstream_signals.rs
@@ -53,7 +53,7 @@
     fleet.press(SETTLE_TIME).await;
     let paused_from = Instant::now();
     let answers = fleet.press(OBSERVATION_TIME).await;
-    let metrics = fleet.boxes[0].context().figures_text();
+    let metrics = fleet.boxes[0].context().metrics_text();
     let resting = "brasswinch_upstreams{service=\"desk\",state=\"resting\"} 1";
     assert!(metrics.contains(resting), "{metrics}");
     assert_eq!(seen_from(&home, paused_from), 0);
