--- a/crates/edge/src/asking.rs
+++ b/crates/edge/src/advice.rs
@@ -28,14 +28,14 @@
 
 /// Pending requests for advice, and coordinators that did not reply.
 #[derive(Debug)]
-pub(crate) struct Asking {
+pub(crate) struct AdviceRequests {
     socket: Arc<UdpSocket>,
     pending_replies: PendingReplies<Advice>,
     /// Unreachable coordinators, each with when to try it again.
     unreachable: Mutex<HashMap<BoxId, Instant>>,
 }
 
-impl Asking {
+impl AdviceRequests {
     /// Sends from `socket`, whose incoming datagrams the membership task reads.
     pub(crate) fn new(socket: Arc<UdpSocket>) -> Self {
         Self {
@@ -51,14 +51,14 @@
 }
 
 /// Reports to the coordinator how the request ended when it is dropped.
-pub(crate) struct Asked {
+pub(crate) struct CompletionGuard {
     context: Arc<Context>,
     /// The coordinator's address; `None` if it is this box.
     coordinator: Option<SocketAddr>,
     completion: CompletionReport,
 }
 
-impl Asked {
+impl CompletionGuard {
     /// Records that the request is sent to the upstream of `choice`.
     pub(crate) fn sent_to(&mut self, choice: &Choice) {
         self.completion.upstream = Some(choice.upstream.clone());
@@ -76,7 +76,7 @@
     }
 }
 
-impl Drop for Asked {
+impl Drop for CompletionGuard {
     fn drop(&mut self) {
         match self.coordinator {
             None => self.context.handle_completion(&self.completion),
@@ -90,11 +90,11 @@
 
 /// Requests advice from the coordinator of the object in `wanted`. Returns the guard that
 /// reports the request's end, and the advice if it came in time.
-pub(crate) async fn ask(
+pub(crate) async fn request_advice(
     context: &Arc<Context>,
     wanted: &UpstreamRequest<'_>,
     left: Duration,
-) -> (Option<Asked>, Option<Advice>) {
+) -> (Option<CompletionGuard>, Option<Advice>) {
     let now = context.clock.now();
     let left_ms = left.as_millis() as Millis;
     let advice_query = context
@@ -103,7 +103,7 @@
     let Some((coordinator, advice_query)) = advice_query else {
         return (None, None);
     };
-    let asked = |coordinator| Asked {
+    let asked = |coordinator| CompletionGuard {
         context: Arc::clone(context),
         coordinator,
         completion: CompletionReport {
@@ -123,7 +123,7 @@
     let Some(address) = context.peer_address(&coordinator) else {
         return (None, None);
     };
-    if context.asking.is_unreachable(&coordinator) {
+    if context.advice_requests.is_unreachable(&coordinator) {
         // It may still receive the report, and needs it to track its upstreams' objects.
         return (Some(asked(Some(address))), None);
     }
@@ -134,7 +134,7 @@
     (Some(asked), advice)
 }
 
-impl Asking {
+impl AdviceRequests {
     fn is_unreachable(&self, coordinator: &BoxId) -> bool {
         let mut unreachable = lock(&self.unreachable);
         unreachable.retain(|_, until| Instant::now() < *until);
@@ -158,14 +158,14 @@
         address: SocketAddr,
         advice_query: AdviceQuery,
     ) -> Option<Advice> {
-        let waiting = self.asking.pending_replies.wait(advice_query.id);
+        let waiting = self.advice_requests.pending_replies.wait(advice_query.id);
         self.send_datagram(&Datagram::AdviceQuery(advice_query), address);
         let advice = waiting
             .within(self.settings.coordinator_reply_timeout)
             .await;
         match advice {
-            Some(_) => self.asking.mark_reachable(coordinator),
-            None => self.asking.mark_unreachable(coordinator),
+            Some(_) => self.advice_requests.mark_reachable(coordinator),
+            None => self.advice_requests.mark_unreachable(coordinator),
         }
         advice
     }
@@ -192,7 +192,10 @@
             return;
         }
         // Late replies are dropped: no request waits for them any more.
-        let _ = self.asking.pending_replies.answered(advice.id, advice);
+        let _ = self
+            .advice_requests
+            .pending_replies
+            .answered(advice.id, advice);
     }
 
     /// Handles the completion report of a request that this box coordinates.
@@ -212,7 +215,7 @@
             return;
         }
         // A lost query costs only a short timeout, and lost completion reports expire.
-        let _ = self.asking.socket.try_send_to(&bytes, to);
+        let _ = self.advice_requests.socket.try_send_to(&bytes, to);
     }
 
     fn peer_address(&self, id: &BoxId) -> Option<SocketAddr> {
--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -1,6 +1,6 @@
 //! One attempt to send a request to one upstream, and its outcome.
 
-use crate::asking::Asked;
+use crate::advice::CompletionGuard;
 use crate::body::{AnyBody, BodyError, StreamLimits, StreamedBody, buffer_body, full};
 use crate::clock::Deadline;
 use crate::connections::Connection;
@@ -81,7 +81,7 @@
 /// A chosen upstream, with the placement request and the limit's grant that go with it.
 pub(crate) struct Chosen {
     pub(crate) choice: Choice,
-    pub(crate) asked: Option<Asked>,
+    pub(crate) asked: Option<CompletionGuard>,
     pub(crate) grant: Grant,
 }
 
@@ -91,7 +91,7 @@
     choice: Choice,
     grant: Grant,
     /// The placement request that it was chosen by; completed when this is dropped.
-    asked: Option<Asked>,
+    asked: Option<CompletionGuard>,
     digest: Option<RequestDigest>,
     request_id: Option<HeaderValue>,
     outcome: UpstreamOutcome,
@@ -374,7 +374,7 @@
     /// Reports to the quarantine that the upstream completed its response.
     fn report_completed(&self) {
         if let Some(digest) = self.digest {
-            self.context.run_answered(digest);
+            self.context.record_run_answer(digest);
         }
     }
 
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -1,6 +1,6 @@
 //! State that all parts of a box share.
 
-use crate::asking::Asking;
+use crate::advice::AdviceRequests;
 use crate::budgets::Budgets;
 use crate::clock::Clock;
 use crate::connections::ConnectionPool;
@@ -12,9 +12,9 @@
 use crate::quotas::QuotaTasks;
 use crate::settings::EdgeSettings;
 use crate::store_calls::StoreCalls;
-use crate::telling::ViewReports;
+use crate::store_watch::StoreWatch;
 use crate::upstream_limits::UpstreamLimitTasks;
-use crate::watching::StoreWatch;
+use crate::view_reports::ViewReports;
 use arc_swap::ArcSwapOption;
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{
@@ -55,7 +55,7 @@
 const MAX_LISTED_UPSTREAMS: usize = 8;
 
 /// The active configuration with its look-up tables for routes and keys.
-pub(crate) struct InForce {
+pub(crate) struct ActiveConfig {
     pub(crate) config: Arc<SteeringConfig>,
     pub(crate) routes: RouteTable,
     pub(crate) keys: KeyTable,
@@ -100,7 +100,7 @@
     pub(crate) settings: EdgeSettings,
     pub(crate) dialect: Dialect,
     pub(crate) clock: Clock,
-    pub(crate) in_force: ArcSwapOption<InForce>,
+    pub(crate) in_force: ArcSwapOption<ActiveConfig>,
     pub(crate) pool: Arc<ConnectionPool>,
     pub(crate) metrics: Metrics,
     pub(crate) store_calls: StoreCalls,
@@ -118,7 +118,7 @@
     pub(crate) view_limits: ViewLimits,
     pub(crate) store_watch: StoreWatch,
     /// Requests for advice that are sent before a request is routed.
-    pub(crate) asking: Asking,
+    pub(crate) advice_requests: AdviceRequests,
     /// The workspaces' quotas.
     pub(crate) quotas: QuotaTasks,
     /// Rate limits that upstreams set.
@@ -176,7 +176,7 @@
         Self {
             view_limits: ViewLimits::new(shortest_s),
             store_watch: StoreWatch::new(&settings, &swim),
-            asking: Asking::new(socket),
+            advice_requests: AdviceRequests::new(socket),
             quotas: QuotaTasks::new(settings.id.clone(), settings.bounds.quota),
             health_probes: HealthProbes::default(),
             fleet_size: KnownFleetSize::default(),
@@ -272,7 +272,7 @@
             let keys = KeyTable::new(config.workspaces.iter());
             self.retain_quotas(config);
             let config = Arc::clone(config);
-            self.in_force.store(Some(Arc::new(InForce {
+            self.in_force.store(Some(Arc::new(ActiveConfig {
                 config,
                 routes,
                 keys,
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -3,12 +3,12 @@
 //! A request is in one of three states: it has not run, it may have run, or it has a response.
 //! The error that the client receives depends on this state alone.
 
+use crate::advice;
 use crate::answer::{error_response, refusal_response};
-use crate::asking;
 use crate::attempt::{AttemptOutcome, Chosen, Identity, Outgoing, OutgoingBody, attempt};
 use crate::body::{AnyBody, BodyError, BufferedBody, StreamLimits, StreamedBody, buffer_body};
 use crate::clock::Deadline;
-use crate::context::{Context, InForce};
+use crate::context::{ActiveConfig, Context};
 use crate::counted::{BufferedBytes, InFlight};
 use crate::failure::{Attempts, Failure, LoggedChoice, OptionalDigest};
 use crate::quotas::Permit;
@@ -184,7 +184,7 @@
 /// Returns the workspace that owns the client's key; `None` if the route needs no key.
 fn workspace<'a>(
     context: &Context,
-    in_force: &'a InForce,
+    in_force: &'a ActiveConfig,
     route: &Route,
     facts: &RequestFacts<'_>,
 ) -> Result<Option<&'a Arc<KnownWorkspace>>, ErrorKind> {
@@ -211,7 +211,7 @@
         &self,
         body: Incoming,
         length: u64,
-        in_force: &InForce,
+        in_force: &ActiveConfig,
     ) -> Result<Response<AnyBody>, Failure> {
         let reserved_bytes = reservation_bytes(length);
         let reserved = BufferedBytes::reserve(self.context, reserved_bytes);
@@ -241,7 +241,7 @@
     async fn send(
         &self,
         buffered: BufferedBody,
-        in_force: &InForce,
+        in_force: &ActiveConfig,
         mut permit: Option<&mut Permit>,
     ) -> Result<Response<AnyBody>, Failure> {
         let mut attempts = Attempts::new(&buffered);
@@ -315,7 +315,7 @@
         let suspect = self.suspect(attempts);
         let digest = self.digest(attempts);
         self.context
-            .run_broke(digest, &suspect, incarnation, attempts.began);
+            .record_run_crash(digest, &suspect, incarnation, attempts.began);
     }
 
     fn identity<'a>(&'a self, attempts: &'a Attempts) -> RequestIdentity<'a> {
@@ -475,7 +475,7 @@
         // Later attempts are rare and go to another upstream than the one advised first, so they
         // are placed without asking.
         let (asked, advice) = if tried.is_empty() {
-            asking::ask(self.context, &wanted, self.deadline.left()).await
+            advice::request_advice(self.context, &wanted, self.deadline.left()).await
         } else {
             (None, None)
         };
@@ -500,7 +500,7 @@
         })
     }
 
-    fn outgoing_body(&self, buffered: BufferedBody, in_force: &InForce) -> OutgoingBody {
+    fn outgoing_body(&self, buffered: BufferedBody, in_force: &ActiveConfig) -> OutgoingBody {
         let Some(remainder) = buffered.remainder else {
             return OutgoingBody::Buffered(buffered.bytes);
         };
--- a/crates/edge/src/follow.rs
+++ b/crates/edge/src/follow.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use crate::store::{FleetStore, StoreFailure};
 use crate::store_calls::CallReason;
-use crate::store_news::{FetchSummary, WatchCall, list, watch};
+use crate::store_fetch::{FetchSummary, WatchCall, list, watch};
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::Scope;
 use std::sync::Arc;
@@ -119,7 +119,7 @@
             Err(error) => {
                 context.handle_store_failure(&error);
                 // Another watch from the same revision would return even more.
-                is_behind |= matches!(error, StoreFailure::NotWhole(_));
+                is_behind |= matches!(error, StoreFailure::Incomplete(_));
                 sleep(backoff.mul_f64(0.5 + rand::random::<f64>())).await;
                 backoff = (backoff * 2).min(context.max_follower_backoff());
             }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -4,8 +4,8 @@
 //! Settings, header names ([`Dialect`]) and the store ([`FleetStore`]) are supplied by the
 //! caller.
 
+mod advice;
 mod answer;
-mod asking;
 mod attempt;
 mod body;
 mod budgets;
@@ -39,11 +39,11 @@
 mod status;
 mod store;
 mod store_calls;
-mod store_news;
-mod telling;
+mod store_fetch;
+mod store_watch;
 mod upstream_limits;
 mod upstream_signals;
-mod watching;
+mod view_reports;
 
 pub use clock::Clock;
 pub use context::{Context, Lifecycle};
@@ -55,6 +55,6 @@
 pub use start::{EdgeError, EdgeHandle, start};
 pub use status::{BoxStatus, RetriesLeft, ViewStatus};
 pub use store::{
-    Begun, BoxRegistry, FleetSizeStore, FleetStore, LeaseId, QuarantineStore, Registration,
-    StoreFailure, Watched,
+    BoxRegistry, FleetSizeStore, FleetStore, LeaseId, OnReplyStart, QuarantineStore, Registration,
+    StoreFailure, WatchReply,
 };
--- a/crates/edge/src/quarantine.rs
+++ b/crates/edge/src/quarantine.rs
@@ -54,7 +54,7 @@
     }
 
     /// Records that the upstream `at` broke the connection during the request sent at `began`.
-    pub(crate) fn run_broke(
+    pub(crate) fn record_run_crash(
         &self,
         digest: RequestDigest,
         suspect: &Suspect,
@@ -75,7 +75,7 @@
     }
 
     /// Records that an upstream answered the request.
-    pub(crate) fn run_answered(&self, digest: RequestDigest) {
+    pub(crate) fn record_run_answer(&self, digest: RequestDigest) {
         let now = self.clock.now();
         self.quarantine.lock().record_answer(digest, now);
         self.send_crash_reports();
--- a/crates/edge/src/refresh.rs
+++ b/crates/edge/src/refresh.rs
@@ -10,7 +10,7 @@
 use crate::follow::{Following, INITIAL_BACKOFF, max_backoff};
 use crate::store::{FleetStore, StoreFailure};
 use crate::store_calls::CallReason;
-use crate::store_news::{WatchCall, list, watch};
+use crate::store_fetch::{WatchCall, list, watch};
 use brasswinch_observe::{Event, emit};
 use brasswinch_routing::{Scope, StoreDuty};
 use brasswinch_types::Millis;
@@ -101,7 +101,7 @@
         None => list(context, store, scope, CallReason::ViewOld).await,
     };
     match answered {
-        Err(StoreFailure::HistoryGone | StoreFailure::NotWhole(_)) => {
+        Err(StoreFailure::HistoryGone | StoreFailure::Incomplete(_)) => {
             let listed = list(context, store, scope, CallReason::Gap).await;
             listed.map(|_| ())
         }
--- a/crates/edge/src/registry.rs
+++ b/crates/edge/src/registry.rs
@@ -90,7 +90,7 @@
             }
         }
         context.count_call(StoreCall::Renew);
-        if store.renew(lease).await == Err(StoreFailure::LeaseOver) {
+        if store.renew(lease).await == Err(StoreFailure::LeaseEnded) {
             return;
         }
     }
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -15,13 +15,13 @@
     HistoryGone,
     /// The lease has expired or was revoked.
     #[error("the lease has ended")]
-    LeaseOver,
+    LeaseEnded,
     /// The store rejected the call for too many calls.
     #[error("the store is busy")]
     Busy,
     /// The reply began but was not completed: it took too long or was too large.
     #[error("the store's reply is incomplete: {0}")]
-    NotWhole(String),
+    Incomplete(String),
     /// The store can't be reached or reports that it is unavailable.
     #[error("the store is unavailable: {0}")]
     Unavailable(String),
@@ -32,7 +32,7 @@
 
 /// The result of a watch.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Watched {
+pub struct WatchReply {
     /// The revision to resume after.
     pub at: Revision,
     /// The changes, oldest first; empty if the wait timed out.
@@ -42,7 +42,7 @@
 }
 
 /// Callback for the beginning of a reply.
-pub type Begun<'a> = &'a (dyn Fn() + Send + Sync + 'a);
+pub type OnReplyStart<'a> = &'a (dyn Fn() + Send + Sync + 'a);
 
 /// The part of the store that boxes follow.
 ///
@@ -60,8 +60,8 @@
         scope: Scope,
         after: Revision,
         wait: Duration,
-        on_reply_start: Begun<'_>,
-    ) -> impl Future<Output = Result<Watched, StoreFailure>> + Send;
+        on_reply_start: OnReplyStart<'_>,
+    ) -> impl Future<Output = Result<WatchReply, StoreFailure>> + Send;
 }
 
 /// A box's entry in the store's list.
--- a/crates/edge/src/store_news.rs
+++ b/crates/edge/src/store_fetch.rs
@@ -1,7 +1,7 @@
 //! Fetches updates from the store: a listing, or the changes since a revision.
 
 use crate::context::Context;
-use crate::store::{Begun, FleetStore, StoreFailure};
+use crate::store::{FleetStore, OnReplyStart, StoreFailure};
 use crate::store_calls::{CallReason, StoreCall};
 use brasswinch_routing::{Change, Revised, Revision, Scope, Watermark};
 use brasswinch_types::Millis;
@@ -61,7 +61,7 @@
     /// How long to wait for a change.
     pub(crate) wait: Duration,
     /// Called when the reply begins.
-    pub(crate) on_reply_start: Begun<'a>,
+    pub(crate) on_reply_start: OnReplyStart<'a>,
     pub(crate) reason: CallReason,
 }
 
--- a/crates/edge/src/watching.rs
+++ b/crates/edge/src/store_watch.rs
@@ -214,7 +214,7 @@
     pub(crate) fn handle_store_failure(&self, error: &StoreFailure) {
         if matches!(
             error,
-            StoreFailure::Unavailable(_) | StoreFailure::NotWhole(_)
+            StoreFailure::Unavailable(_) | StoreFailure::Incomplete(_)
         ) {
             let now = self.clock.now();
             self.fleet().record_store_failure(now);
--- a/crates/edge/src/upstream_limits.rs
+++ b/crates/edge/src/upstream_limits.rs
@@ -188,7 +188,12 @@
     }
 
     /// Records the limit that the chosen upstream's answer carries, or that it carries none.
-    pub(crate) fn hear_limit(&self, choice: &Choice, grant: Grant, limit: Option<UpstreamLimit>) {
+    pub(crate) fn handle_observed_limit(
+        &self,
+        choice: &Choice,
+        grant: Grant,
+        limit: Option<UpstreamLimit>,
+    ) {
         if limit.is_none() && self.upstream_limits.lock().is_empty() {
             return;
         }
--- a/crates/edge/src/upstream_signals.rs
+++ b/crates/edge/src/upstream_signals.rs
@@ -131,8 +131,8 @@
         }
         match signals.limit {
             LimitSignal::Absent => {}
-            LimitSignal::Unlimited => self.hear_limit(choice, grant, None),
-            LimitSignal::Limited(limit) => self.hear_limit(choice, grant, Some(limit)),
+            LimitSignal::Unlimited => self.handle_observed_limit(choice, grant, None),
+            LimitSignal::Limited(limit) => self.handle_observed_limit(choice, grant, Some(limit)),
         }
         let upstream = &choice.upstream;
         if signals.is_leaving && self.placement().record_leaving(choice) {
--- a/crates/lab/src/memory_store.rs
+++ b/crates/lab/src/memory_store.rs
@@ -4,8 +4,8 @@
 //! away, forgets its history, and loses the answers of watches.
 
 use brasswinch_edge::{
-    Begun, BoxRegistry, FleetSizeStore, FleetStore, LeaseId, QuarantineStore, Registration,
-    StoreFailure, Watched,
+    BoxRegistry, FleetSizeStore, FleetStore, LeaseId, OnReplyStart, QuarantineStore, Registration,
+    StoreFailure, WatchReply,
 };
 use brasswinch_routing::{
     Change, ChangeKey, CrashReport, RequestDigest, Revised, Revision, Scope, Snapshot,
@@ -236,7 +236,7 @@
     }
 
     /// Changes of `scope` after a revision, if there are any.
-    fn news(&self, scope: Scope, after: Revision) -> Result<Option<Watched>, StoreFailure> {
+    fn news(&self, scope: Scope, after: Revision) -> Result<Option<WatchReply>, StoreFailure> {
         let state = self.state();
         if after.0 < state.forgotten {
             return Err(StoreFailure::HistoryGone);
@@ -251,7 +251,7 @@
             at = changes[last].revision;
         }
         let transfer = Duration::ZERO;
-        Ok((!changes.is_empty()).then_some(Watched {
+        Ok((!changes.is_empty()).then_some(WatchReply {
             at,
             changes,
             transfer,
@@ -276,8 +276,8 @@
         scope: Scope,
         after: Revision,
         wait: Duration,
-        begun: Begun<'_>,
-    ) -> Result<Watched, StoreFailure> {
+        begun: OnReplyStart<'_>,
+    ) -> Result<WatchReply, StoreFailure> {
         self.lock_waits().push(wait);
         self.fail_if_told(wait).await?;
         let waiting = async {
@@ -291,7 +291,7 @@
         };
         let Ok(watched) = tokio::time::timeout(wait, waiting).await else {
             self.carry(&[]).await;
-            return Ok(Watched {
+            return Ok(WatchReply {
                 at: Revision(self.state().revision),
                 changes: Vec::new(),
                 transfer: Duration::ZERO,
@@ -299,7 +299,7 @@
         };
         let mut watched = watched?;
         if self.fault() == StoreFault::LargeWatches {
-            return Err(StoreFailure::NotWhole("it is too large".into()));
+            return Err(StoreFailure::Incomplete("it is too large".into()));
         }
         begun();
         watched.transfer = self.carry(&watched.changes).await;
@@ -324,13 +324,13 @@
     async fn renew(&self, lease: LeaseId) -> Result<(), StoreFailure> {
         self.fail_if_told(Duration::ZERO).await?;
         let is_held = self.state().registrations.contains_key(&lease.0);
-        is_held.then_some(()).ok_or(StoreFailure::LeaseOver)
+        is_held.then_some(()).ok_or(StoreFailure::LeaseEnded)
     }
 
     async fn withdraw(&self, lease: LeaseId) -> Result<(), StoreFailure> {
         self.fail_if_told(Duration::ZERO).await?;
         let removed = self.state().registrations.remove(&lease.0);
-        removed.map(|_| ()).ok_or(StoreFailure::LeaseOver)
+        removed.map(|_| ()).ok_or(StoreFailure::LeaseEnded)
     }
 
     async fn registered(&self) -> Result<Vec<Registration>, StoreFailure> {
