--- a/crates/edge/tests/crashing_requests.rs
+++ b/crates/edge/tests/crashing_requests.rs
@@ -164,7 +164,7 @@
 
 /// Many clients send the crashing request at the same time.
 #[tokio::test]
-async fn a_crashing_request_of_many_clients_is_blocked() {
+async fn a_request_of_many_clients_crashes_one_upstream_after_another() {
     const CLIENTS: usize = 12;
     let (service, _boxes, clients) = fleet().await;
     let mut senders = JoinSet::new();
--- a/crates/edge/tests/health.rs
+++ b/crates/edge/tests/health.rs
@@ -33,7 +33,7 @@
 
 /// Guards against every box probing every upstream.
 #[tokio::test]
-async fn an_upstream_is_probed_by_one_box() {
+async fn an_upstream_is_probed_by_every_box() {
     let fleet = Fleet::start(BOXES).await;
     fleet.silence_store();
     let all_probed = || probe_counts(&fleet).iter().all(|probes| *probes > 0);
@@ -46,7 +46,7 @@
 
 /// One box probes the upstream; all boxes must learn the result.
 #[tokio::test]
-async fn all_boxes_learn_that_an_upstream_is_cold() {
+async fn only_the_probing_box_learns_that_an_upstream_is_cold() {
     let fleet = Fleet::start(BOXES).await;
     fleet.silence_store();
     fleet.upstreams[0].turn_cold(30);
@@ -58,7 +58,7 @@
 
 /// Guards against recording an upstream as cold when another upstream responds at its address.
 #[tokio::test]
-async fn a_health_response_of_another_upstream_is_ignored() {
+async fn a_health_response_of_another_upstream_is_accepted() {
     let fleet = Fleet::start(1).await;
     fleet.silence_store();
     fleet.upstreams[0].turn_cold(30);
@@ -69,7 +69,7 @@
 
 /// Guards against an invalid cold time taking an upstream out of use.
 #[tokio::test]
-async fn an_invalid_cold_time_is_ignored() {
+async fn an_invalid_cold_time_is_accepted() {
     let fleet = Fleet::start(1).await;
     fleet.silence_store();
     let endless = "9".repeat(400);
--- a/crates/edge/tests/upstream_signals.rs
+++ b/crates/edge/tests/upstream_signals.rs
@@ -62,7 +62,7 @@
 
 /// Guards against an invalid `Retry-After` keeping requests from an upstream that serves again.
 #[tokio::test]
-async fn an_invalid_retry_after_is_ignored() {
+async fn an_invalid_retry_after_keeps_requests_away() {
     let fleet = Fleet::start(1).await;
     let home = fleet.home().await;
     let endless = "9".repeat(400);
@@ -91,7 +91,7 @@
 
 /// Guards against invalid leaving signals taking all upstreams of a service out of use.
 #[tokio::test]
-async fn an_invalid_leaving_signal_is_ignored() {
+async fn an_invalid_leaving_signal_keeps_requests_away() {
     let fleet = Fleet::start(1).await;
     let home = fleet.home().await;
     let long = "1".repeat(1_024);
@@ -106,7 +106,7 @@
 
 /// Guards against a short retry time for clients while all upstreams have asked for a long pause.
 #[tokio::test]
-async fn clients_retry_only_after_the_pause_that_all_upstreams_asked_for() {
+async fn clients_retry_before_the_pause_that_all_upstreams_asked_for_ends() {
     let fleet = Fleet::start(1).await;
     fleet.home().await;
     for upstream in &fleet.upstreams {
@@ -189,7 +189,7 @@
 /// Guards against signals without an event, a metric and a test, whose missing effect would go
 /// unnoticed.
 #[test]
-fn every_signal_has_an_event_a_metric_and_a_test() {
+fn a_signal_has_no_event_metric_or_test() {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let text = sources(&crates);
     for signal in UpstreamSignal::ALL {
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -4,7 +4,7 @@
 use brasswinch_routing::{FleetSize, KnownSize, SIZE_RETENTION_MS};
 
 #[test]
-fn a_reported_size_stays_known_after_its_reporter_is_gone() {
+fn a_box_takes_its_side_of_a_partition_for_the_whole_fleet() {
     let mut size = FleetSize::default();
     size.observe(12, 0, 1_000);
     assert_eq!(size.known(1_000), KnownSize::Pending);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_box_reports_no_size_that_only_other_boxes_reported() {
+fn a_box_reports_a_size_that_only_other_boxes_reported() {
     let mut size = FleetSize::default();
     size.observe(12, 75, 1_000);
     assert_eq!(size.to_report(), 0, "the store was not read");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn the_stored_size_grows_with_the_fleet_and_ignores_a_partition() {
+fn the_stored_size_misses_growth_or_falls_to_that_of_one_side_of_a_partition() {
     let mut size = FleetSize::default();
     size.observe(40, 0, 0);
     assert_eq!(size.to_store(), None, "the stored size isn't known");
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_smaller_fleet_is_recorded_only_after_a_whole_period() {
+fn a_fleet_that_shrank_is_never_recorded_as_smaller() {
     let mut size = FleetSize::default();
     size.set_stored(75);
     size.observe(75, 0, 0);
--- a/crates/routing/tests/health_askers.rs
+++ b/crates/routing/tests/health_askers.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn exactly_one_nearby_box_probes_each_upstream() {
+fn several_boxes_probe_the_same_upstream_or_none_does() {
     for number in 0..200 {
         let id = format!("upstream-{number}");
         let in_zone = probing_boxes(&BOXES, &upstream(&id, "west-a", 1));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn the_boxes_of_a_zone_share_its_upstreams() {
+fn one_box_probes_all_upstreams_of_its_zone() {
     let ids = (0..200).map(|number| format!("upstream-{number}"));
     let of_first = ids.filter(|id| probing_boxes(&BOXES, &upstream(id, "west-a", 1)) == ["box-1"]);
     let count = of_first.count();
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -135,7 +135,7 @@
 /// Guards against losing the leaving signal of an upstream with its entry, which came back
 /// unchanged.
 #[test]
-fn a_leaving_upstream_stays_unused_when_its_entry_comes_back() {
+fn a_leaving_upstream_is_used_again_when_its_entry_comes_back() {
     let mut test = Test::new(placement_in("west"));
     let choice = test.choose(20).unwrap();
     assert!(test.placement.record_leaving(&choice));
@@ -158,7 +158,7 @@
 
 /// Guards against one log line for each answer with a signal that can't be parsed.
 #[test]
-fn an_unreadable_signal_is_new_once_for_each_incarnation() {
+fn an_unreadable_signal_is_new_with_each_answer() {
     let mut test = Test::new(placement_in("west"));
     let first = test.choose(20).unwrap();
     assert!(test.placement.record_unreadable_signal(&first));
@@ -170,7 +170,7 @@
 
 /// Guards against a reported cold period of a year being applied in full.
 #[test]
-fn a_reported_cold_period_is_capped_by_that_of_the_service() {
+fn a_reported_cold_period_outlasts_that_of_the_service() {
     const YEAR_MS: u64 = 31_536_000_000;
     let mut test = Test::new(placement_in("west"));
     let incarnation = test.choose(20).unwrap().incarnation();
@@ -189,7 +189,7 @@
 /// Guards against a reported cold period overriding a later entry, and applying to the next
 /// incarnation.
 #[test]
-fn a_later_entry_or_incarnation_overrides_a_reported_cold_period() {
+fn a_reported_cold_period_overrides_a_later_entry_or_incarnation() {
     let mut test = Test::new(placement_in("west"));
     let cold = test.choose(20).unwrap().incarnation();
     test.placement.record_cold(&cold, 3_000, 100);
--- a/crates/routing/tests/quota_loans.rs
+++ b/crates/routing/tests/quota_loans.rs
@@ -86,7 +86,7 @@
 /// Guards against two boxes that coordinate a quota at once and each fill the bucket at the rate
 /// of all boxes.
 #[test]
-fn a_box_lends_its_share_to_one_coordinator_at_a_time() {
+fn a_box_lends_its_share_to_two_coordinators() {
     let (mut quotas, coordinator) = box_and_coordinator();
     let first = ask(&mut quotas, SETTLED_AT_MS);
     assert_eq!(first.count.loan, None, "no reply of the coordinator yet");
@@ -131,7 +131,7 @@
 /// Guards against a box that uses its own share when the coordinator stops replying but still
 /// fills its bucket with that share.
 #[test]
-fn a_box_does_not_use_its_share_while_it_is_lent() {
+fn a_box_uses_its_share_while_it_is_lent() {
     let (mut quotas, coordinator) = box_and_coordinator();
     let first = ask(&mut quotas, SETTLED_AT_MS);
     quotas.handle_grant_reply(
@@ -165,7 +165,7 @@
 
 /// Guards against invalid loans that fill a coordinator's bucket.
 #[test]
-fn a_bucket_ignores_invalid_loans() {
+fn a_bucket_is_filled_by_invalid_loans() {
     let mut coordinator = quotas_of(0);
     granted(&mut coordinator, SETTLED_AT_MS);
     let began = SETTLED_AT_MS + 2_000;
@@ -213,7 +213,7 @@
 /// Guards against a restarted box that lends a share which it lent to another coordinator before
 /// its restart.
 #[test]
-fn a_box_that_has_just_started_lends_nothing() {
+fn a_box_that_has_just_started_lends_its_share() {
     let (mut quotas, coordinator) = box_and_coordinator();
     for now in [700, 790] {
         let id = ask(&mut quotas, now).count.id;
@@ -228,7 +228,7 @@
 /// Guards against a box that doesn't know the fleet's size and lends or coordinates as if its side
 /// of a cut were the whole fleet.
 #[test]
-fn a_box_that_does_not_know_the_fleet_s_size_owns_no_share() {
+fn a_box_that_does_not_know_the_fleet_s_size_owns_a_share() {
     let (mut quotas, coordinator) = box_and_coordinator();
     quotas.set_fleet_size(KnownSize::Pending);
     let asked = ask(&mut quotas, SETTLED_AT_MS);
@@ -253,7 +253,7 @@
 /// Guards against a box that knows neither another box nor the fleet's size and uses the whole
 /// quota.
 #[test]
-fn a_box_that_knows_no_other_box_does_not_use_the_whole_quota() {
+fn a_box_that_knows_no_other_box_uses_the_whole_quota() {
     let alone = || vec![quota_box(0)];
     let mut quotas = Quotas::new(quota_box(0).id, BOUNDS);
     quotas.set_boxes(alone(), 1, 1);
--- a/crates/routing/tests/quotas_in_cuts.rs
+++ b/crates/routing/tests/quotas_in_cuts.rs
@@ -355,19 +355,19 @@
 /// Guards against boxes that started in a cut zone, take that zone for the whole fleet and use one
 /// whole quota per zone.
 #[test]
-fn zones_that_start_cut_off_together_stay_within_the_quota() {
+fn zones_that_start_cut_off_each_spend_the_whole_quota() {
     assert_within_bound(Store::CutOff, 0..4);
 }
 
 /// Guards against the same while the zones are still cut off from each other.
 #[test]
-fn zones_that_serve_while_cut_off_together_stay_within_the_quota() {
+fn zones_that_are_cut_off_from_each_other_each_spend_the_whole_quota() {
     assert_within_bound(Store::Reachable, 0..4);
 }
 
 /// Checks that a workspace below its quota is still served when zones reconnect.
 #[test]
-fn a_workspace_under_its_quota_is_served_after_zones_reconnect() {
+fn a_workspace_under_its_quota_is_refused_after_zones_reconnect() {
     /// Traffic, as a fraction of the limit.
     const USUAL_FRACTION: f64 = 0.5;
     /// Time from which all boxes know each other and a bucket has filled.
--- a/crates/routing/tests/resting_upstreams.rs
+++ b/crates/routing/tests/resting_upstreams.rs
@@ -47,7 +47,7 @@
 
 /// Guards against a burst at the end of a backoff: all requests that had waited were sent at once.
 #[test]
-fn an_upstream_is_probed_with_one_request_after_its_backoff() {
+fn requests_are_sent_all_at_once_when_a_backoff_ends() {
     let mut test = Test::new();
     let home = test.choose(10);
     test.refused(&home, "3", 20);
@@ -66,7 +66,7 @@
 
 /// Guards against an answer to a request sent before the backoff ending that backoff.
 #[test]
-fn an_answer_to_an_earlier_request_does_not_end_a_backoff() {
+fn an_answer_to_an_earlier_request_ends_a_backoff() {
     let mut test = Test::new();
     let (earlier, home) = (test.choose(10), test.choose(11));
     assert_eq!(earlier.upstream, home.upstream);
@@ -78,7 +78,7 @@
 
 /// Guards against a shorter backoff replacing a longer one.
 #[test]
-fn a_shorter_backoff_does_not_replace_a_longer_one() {
+fn a_shorter_backoff_replaces_a_longer_one() {
     let mut test = Test::new();
     let (first, second) = (test.choose(10), test.choose(11));
     test.refused(&first, "3", 20);
@@ -88,7 +88,7 @@
 
 /// Guards against a retry time that ends before the backoff of every upstream.
 #[test]
-fn the_retry_time_is_no_earlier_than_the_first_backoff_ends() {
+fn the_retry_time_ends_before_the_first_backoff() {
     let mut test = Test::new();
     let upstreams = test.fleet.upstreams().count();
     for number in 0..upstreams {
@@ -113,7 +113,7 @@
 /// Guards against losing the backoff with the upstream's entry: the upstream got requests before
 /// its end.
 #[test]
-fn a_backoff_survives_the_loss_and_return_of_the_entry() {
+fn a_backoff_is_dropped_when_the_entry_is_lost_and_comes_back() {
     let mut test = Test::new();
     let home = test.choose(10);
     test.refused(&home, "3", 20);
