--- a/crates/types/src/class.rs
+++ b/crates/types/src/class.rs
@@ -1,45 +1,47 @@
-//! Request classes: what the system may do with a request that went wrong.
+//! Request classes, which decide how a failed request may be handled.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What a service's requests are, and so how they may be treated.
+/// The class of a service's requests. It decides whether they may be retried.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Class {
-    /// Small and safe to run again: a price check, a position look-up.
+    /// Small and idempotent, such as a price check or a position look-up.
     #[default]
     Repeatable,
-    /// Must run at most once: a confirmation, a voucher, a booking.
+    /// Must run at most once, such as a confirmation, a voucher or a booking.
     Once(OnceProof),
-    /// Large and slow, must arrive whole: drawings, engine logs.
+    /// Large and slow, and must arrive complete, such as drawings or engine logs.
     Upload,
 }
 
-/// What shows that a `once` request has not been run before.
+/// How a box makes sure that a `once` request has not run before.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnceProof {
-    /// A signed ticket that names one incarnation of one box. Works in every cut.
+    /// A signed ticket that names one incarnation of one box. Works during any network
+    /// partition.
     #[default]
     Ticket,
-    /// A create-if-absent claim on the caller's own key in the platform's store,
-    /// besides the ticket. Exact across tickets; needs the store to be reachable.
+    /// In addition to the ticket, a create-if-absent claim on the caller's key in the
+    /// platform's store. Also rejects a repeat under another ticket, but needs the store
+    /// to be reachable.
     Claim,
 }
 
 impl Class {
-    /// Whether a failed try may be made again without asking the caller.
+    /// Whether a failed attempt may be retried without involving the caller.
     pub fn may_repeat(self) -> bool {
         self == Self::Repeatable
     }
 
-    /// Whether a look-up issues a ticket for it.
+    /// Whether a look-up issues a ticket for a request of this class.
     pub fn needs_ticket(self) -> bool {
         matches!(self, Self::Once(_))
     }
 
-    /// The name used in policies, metrics and answers.
+    /// Returns the name used in policies, metrics and responses.
     pub fn name(self) -> &'static str {
         match self {
             Self::Repeatable => "repeatable",
@@ -49,7 +51,7 @@
         }
     }
 
-    /// The inverse of [`Class::name`].
+    /// Returns the class with the given [`Class::name`].
     pub fn from_name(name: &str) -> Option<Self> {
         [
             Self::Repeatable,
--- a/crates/types/src/config.rs
+++ b/crates/types/src/config.rs
@@ -1,14 +1,14 @@
-//! The operators' configuration as the store keeps it and daemons relay it.
+//! The operators' configuration in the form in which it is stored and relayed by daemons.
 //!
-//! Each entry carries its own version, one above the version it replaces. The
-//! version, not the store's revision, orders the texts of one key: a store
-//! restored from an older copy can then not bring an older text back in force.
+//! Each entry carries its own version, one above the version it replaces. Entries
+//! of one key are ordered by this version and not by the store's revision, so a
+//! store restored from an older backup can't put an older entry back in force.
 
 use crate::{Service, SubmissionId, UpstreamId, Workspace};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What an entry is about. Each key has one value and one line of versions.
+/// The subject of an entry. Each key has one value and one sequence of versions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ConfigKey {
     /// The policy of a workspace.
@@ -18,7 +18,7 @@
 }
 
 impl ConfigKey {
-    /// The workspace that the entry belongs to.
+    /// Returns the workspace that the entry belongs to.
     pub fn workspace(&self) -> &Workspace {
         match self {
             Self::Policy(workspace) | Self::Drain(workspace, _, _) => workspace,
@@ -37,24 +37,25 @@
     }
 }
 
-/// One accepted change.
+/// One accepted change to the configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigEntry {
-    /// What it is about.
+    /// The subject of the entry.
     pub key: ConfigKey,
     /// One above the version it replaces; the first is 1.
     pub version: u64,
-    /// Tells this submission from every other.
+    /// Identifies the submission that made this change.
     pub submission: SubmissionId,
     /// The new content.
     pub document: ConfigDocument,
 }
 
 impl ConfigEntry {
-    /// Whether this entry takes the place of `other` under the same key.
+    /// Whether this entry replaces `other` under the same key.
     ///
-    /// Versions decide. The submission breaks a tie, which only a store
-    /// restored from an older copy can bring about; all daemons break it alike.
+    /// The higher version wins. Equal versions arise only after a store was restored
+    /// from an older backup; the higher submission identifier then wins, so that all
+    /// daemons choose the same entry.
     pub fn supersedes(&self, other: &Self) -> bool {
         (self.version, self.submission) > (other.version, other.submission)
     }
@@ -67,24 +68,24 @@
     Policy(PolicyText),
     /// A planned drain, in force until cancelled.
     Drain(DrainNotice),
-    /// The key was withdrawn. Kept so that an older entry can't return.
+    /// The key was withdrawn. The entry remains so that an older one can't take effect again.
     Withdrawn(Tombstone),
 }
 
-/// A policy as its operators wrote it.
+/// A policy as written by the operators.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PolicyText {
-    /// The program's source.
+    /// The source text of the policy program.
     pub source: String,
 }
 
-/// Why an upstream is leaving.
+/// Why an upstream is being drained.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DrainNotice {
-    /// The operator's words.
+    /// The reason that the operator gave.
     pub reason: String,
 }
 
-/// Marks a withdrawn key.
+/// Marks a key as withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tombstone {}
--- a/crates/types/src/errors.rs
+++ b/crates/types/src/errors.rs
@@ -1,23 +1,24 @@
-//! The closed list of error kinds and the one table from kind to answer.
+//! The closed list of error kinds and the table that maps each kind to a response.
 //!
-//! Every failed request gets exactly one row of this table. `docs/ERRORS.md`
-//! is held to it by a snapshot test.
+//! Every failed request is answered by exactly one row of this table. A test checks that
+//! `docs/ERRORS.md` contains the same table, and a snapshot test guards it against
+//! accidental changes.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Whether the request reached an upstream.
+/// Whether an upstream may have run the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Ran {
-    /// No upstream has run it or will run it.
+    /// No upstream has run the request or will run it.
     NotRun,
-    /// An upstream may have run it.
+    /// An upstream may have run the request.
     Unknown,
 }
 
 impl Ran {
-    /// The stable name that callers see.
+    /// Returns the stable name that callers see.
     pub fn name(self) -> &'static str {
         match self {
             Self::NotRun => "not_run",
@@ -32,95 +33,97 @@
     }
 }
 
-/// When the caller should come back, if at all.
+/// Whether and when the caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryHint {
-    /// Asking again won't help.
+    /// A retry won't help.
     Never,
-    /// Ask again after about this many milliseconds; the answer adds jitter.
+    /// Retry after at least this many milliseconds; jitter of up to as much again is added
+    /// to the response.
     After(u64),
 }
 
-/// A row of the table: what a caller is told for one error kind.
+/// A row of the table: the response to the caller for one error kind.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// HTTP status code.
     pub status: u16,
-    /// Whether it ran.
+    /// Whether the request may have run.
     pub ran: Ran,
-    /// Whether and when to come back.
+    /// Whether and when to retry.
     pub retry: RetryHint,
-    /// One sentence for a person.
+    /// One sentence for a human reader.
     pub text: &'static str,
 }
 
-/// Everything that can go wrong with a caller's request.
+/// The reasons why a caller's request can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum ErrorKind {
     /// The request line, a header or a parameter can't be read.
     MalformedRequest,
-    /// No credential, or one that isn't known.
+    /// The credential is missing or unknown.
     Unauthenticated,
     /// The credential belongs to another workspace or role.
     Forbidden,
-    /// The workspace has no such service in its policy in force.
+    /// The workspace's policy in force declares no such service.
     UnknownService,
-    /// No policy of the workspace is in force here yet.
+    /// No policy of the workspace is in force on this box yet.
     NoPolicy,
-    /// The caller's block may not be sent to any region that can serve.
+    /// No region that callers of this origin may be sent to can serve.
     NoRegion,
-    /// The region's traffic share may not move yet under the shift cap.
+    /// The shift cap doesn't yet allow the traffic to move to another region.
     ShiftCapped,
-    /// The zone's load for the service is in full use.
+    /// The capacity for the request, such as the zone's load for the service, is fully used.
     AtCapacity,
-    /// The workspace has too many requests on this box.
+    /// The workspace has too many concurrent requests on this box.
     WorkspaceLimit,
-    /// The workspace has used up its quota over all boxes.
+    /// The workspace has used up its quota, which covers all boxes.
     OverQuota,
-    /// This box has been out of touch with the store for so long that keys may have been
-    /// taken away.
+    /// This box has been unable to reach the store for so long that keys may have been
+    /// revoked meanwhile.
     KeysUnconfirmed,
-    /// This box is leaving and takes no new work.
+    /// This box is shutting down and accepts no new requests.
     BoxLeaving,
-    /// This box has just started and doesn't yet know what it may use.
+    /// This box has just started and doesn't yet know which capacity it may use.
     BoxStarting,
     /// A `once` request came without a ticket.
     TicketMissing,
-    /// The ticket isn't genuine or names another service or key.
+    /// The ticket's signature is invalid, or the ticket names another service or key.
     TicketInvalid,
     /// The ticket has expired.
     TicketExpired,
     /// The ticket names another box or an earlier incarnation of this one.
     TicketElsewhere,
-    /// The box that the ticket names voided it; it has not run and never will.
+    /// The box that the ticket names voided it; the request has not run and never will.
     TicketVoided,
-    /// The ticket or the caller's key was already used.
+    /// The ticket or the caller's key has already been used.
     AlreadySubmitted,
-    /// The claim on the caller's key can't be written now.
+    /// The claim on the caller's key can't be written to the store now.
     ClaimUnavailable,
     /// No upstream accepted a connection.
     UpstreamConnect,
-    /// The upstream refused it explicitly without running it.
+    /// The upstream explicitly refused the request without running it.
     UpstreamRefused,
-    /// The upstream's connection broke after the request may have arrived.
+    /// The connection to the upstream broke after the request may have arrived there.
     UpstreamBroken,
     /// The deadline passed before the request was sent to an upstream.
     DeadlineBeforeSend,
     /// The deadline passed after the request may have arrived at an upstream.
     DeadlineAfterSend,
-    /// No configuration is known here yet.
+    /// This box has received no configuration yet.
     NotConfigured,
     /// The configuration in force has no route for the host and path.
     NoRoute,
     /// The body is longer than the configuration allows.
     BodyTooLarge,
-    /// No upstream of the service can take it now.
+    /// No upstream of the service can accept the request now.
     NoUpstream,
-    /// Upstreams have ended under this request, one after another, whoever sent it.
+    /// The request is quarantined: upstreams crashed one after another while running it,
+    /// whichever caller sent it.
     ShutOut,
-    /// The time allowed was over before it was sent to an upstream.
+    /// The request timed out before it was sent to an upstream.
     TimeoutBeforeSend,
-    /// The time allowed was over after it may have arrived at an upstream.
+    /// The request timed out after it may have arrived at an upstream.
     TimeoutAfterSend,
 }
 
@@ -163,7 +166,7 @@
         E::TimeoutAfterSend,
     ];
 
-    /// The stable name that callers see.
+    /// Returns the stable name that callers see.
     pub fn code(self) -> &'static str {
         match self {
             E::MalformedRequest => "malformed_request",
@@ -201,7 +204,7 @@
         }
     }
 
-    /// What the caller is told.
+    /// Returns the row of the table for this kind.
     pub fn answer(self) -> Answer {
         use Ran::{NotRun, Unknown};
         use RetryHint::{After, Never};
--- a/crates/types/src/ids.rs
+++ b/crates/types/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of things, each its own type so that one can't stand in for another.
+//! Identifiers. Each kind has its own type, so that the compiler rejects a mix-up.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -6,7 +6,7 @@
 
 /// A reading of a monotonic clock, in milliseconds since an arbitrary start.
 ///
-/// Pure logic takes it as an argument; it never reads a clock itself.
+/// Code without input or output takes the time as an argument and never reads a clock.
 pub type Millis = u64;
 
 macro_rules! name_type {
@@ -17,12 +17,13 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Wraps a name without checking it; settings and policies check theirs.
+            /// Wraps a name without validating it; the readers of settings and policies validate
+            /// theirs.
             pub fn new(name: impl AsRef<str>) -> Self {
                 Self(Arc::from(name.as_ref()))
             }
 
-            /// The name as text.
+            /// Returns the name as text.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -63,21 +64,21 @@
     BoxId
 }
 name_type! {
-    /// One incarnation of an upstream; a restart may bring a new one.
+    /// One incarnation of an upstream. It may change when the upstream restarts.
     UpstreamId
 }
 
 /// A service together with the workspace that owns it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ServiceKey {
-    /// The owner.
+    /// The workspace that owns the service.
     pub workspace: Workspace,
     /// The service's name within the workspace.
     pub service: Service,
 }
 
 impl ServiceKey {
-    /// Joins the two names.
+    /// Creates a key from the two names.
     pub fn new(workspace: impl Into<Workspace>, service: impl Into<Service>) -> Self {
         Self {
             workspace: workspace.into(),
@@ -86,14 +87,15 @@
     }
 }
 
-/// A service's short name on links: a hash of its key. Two services that share one
-/// would only mix their load hints; admission never goes by it.
+/// A short identifier of a service in messages between boxes: a hash of its key. A
+/// collision of two services would only mix up their load hints, because admission never
+/// depends on the tag.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ServiceTag(pub u64);
 
 impl ServiceKey {
-    /// The short name.
+    /// Returns the short identifier of the service.
     pub fn tag(&self) -> ServiceTag {
         ServiceTag(xxhash_rust::xxh3::xxh3_64(self.to_string().as_bytes()))
     }
@@ -105,7 +107,7 @@
     }
 }
 
-/// One run of a daemon process on a box, drawn at random when it starts.
+/// One run of a daemon process on a box; a random number chosen when the process starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Incarnation(pub u64);
@@ -116,7 +118,8 @@
     }
 }
 
-/// Identifies one submission, so that a lost answer can be settled by reading back.
+/// Identifies one submission. If the response was lost, reading the entry back shows
+/// whether the submission was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct SubmissionId(pub u64);
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,7 @@
-//! Identifiers, documents and error kinds that every package shares.
+//! Identifiers, documents and error kinds that the packages share.
 //!
-//! Nothing here does any input or output. A type lives in this package when
-//! it crosses a process boundary or is named by more than one package.
+//! Nothing here does any input or output. A type belongs in this package if it
+//! crosses a process boundary or more than one package uses it.
 
 mod class;
 mod config;
--- a/crates/types/src/plan.rs
+++ b/crates/types/src/plan.rs
@@ -1,4 +1,5 @@
-//! A plan: what a policy program evaluates to, and all that the request path reads of it.
+//! Plans: the result of evaluating a policy program. The request path reads nothing else
+//! of a policy.
 
 use crate::{Class, Millis, Region, Service, UpstreamId};
 use serde::{Deserialize, Serialize};
@@ -11,20 +12,21 @@
     pub services: BTreeMap<Service, ServicePlan>,
 }
 
-/// What the policy says of one service.
+/// The part of a plan that applies to one service.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServicePlan {
-    /// How its requests may be treated.
+    /// The class of its requests, which decides how a failed one may be handled.
     pub class: Class,
-    /// Most concurrent requests each region may be given.
+    /// Maximum number of concurrent requests per region.
     pub loads: BTreeMap<Region, u32>,
-    /// Where callers of each origin region may go; `None` keys every other origin.
+    /// The regions that callers of each origin may be sent to. The row with the origin
+    /// `None` applies to all origins without a row of their own.
     pub weights: Vec<WeightRow>,
-    /// How fast shares may move.
+    /// Limits how fast traffic may shift between regions.
     pub shift_cap: ShiftCap,
-    /// Longest time a request may take, in milliseconds.
+    /// Maximum duration of a request, in milliseconds.
     pub deadline_ms: Millis,
-    /// Upstreams that get no new work.
+    /// Upstreams that are being drained and get no new requests.
     pub leaving: BTreeSet<UpstreamId>,
 }
 
@@ -33,11 +35,11 @@
 pub struct WeightRow {
     /// The callers' region; `None` for origins that no other row names.
     pub origin: Option<Region>,
-    /// Share of each region; they add up to 1.
+    /// The share of traffic that each region gets. The shares add up to 1.
     pub shares: BTreeMap<Region, f64>,
 }
 
-/// Most of an origin's traffic that may change region in any window.
+/// The maximum part of an origin's traffic that may change region in any time window.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ShiftCap {
     /// A fraction of the origin's requests, above 0 and at most 1.
@@ -47,7 +49,7 @@
 }
 
 impl Default for ShiftCap {
-    /// A tenth of the traffic in ten seconds.
+    /// A tenth of the traffic per ten seconds.
     fn default() -> Self {
         Self {
             fraction: 0.1,
@@ -57,7 +59,7 @@
 }
 
 impl ServicePlan {
-    /// The shares for callers of `origin`, if any row covers them.
+    /// Returns the shares for callers of `origin`, if a row applies to them.
     pub fn shares_for(&self, origin: &Region) -> Option<&BTreeMap<Region, f64>> {
         let exact = self
             .weights
--- a/crates/types/src/upstream_signal.rs
+++ b/crates/types/src/upstream_signal.rs
@@ -1,36 +1,37 @@
-//! What an upstream says of itself in its answers.
+//! Signals about its own state that an upstream sends in its responses.
 
 use crate::Millis;
 use std::fmt;
 use std::str::FromStr;
 
-/// Longest text that is read as a number, in bytes.
-const MOST_TEXT_BYTES: usize = 32;
+/// Maximum length of a text that is parsed as a number.
+const MAX_TEXT_BYTES: usize = 32;
 
-/// Longest rest that is granted, in milliseconds. A longer one is taken for a mistake, which
-/// would leave the upstream unused until it starts again.
-const LONGEST_REST_MS: Millis = 3_600_000;
+/// Maximum rest that an upstream may request. A longer one is presumed to be a mistake and
+/// cut to this, as it would leave the upstream unused until it restarts.
+const MAX_REST_MS: Millis = 3_600_000;
 
-/// Longest time that an upstream is taken for cold, in milliseconds: as long as entries may say.
-const LONGEST_COLD_MS: Millis = 86_400_000;
+/// Maximum time that an upstream may report to stay cold. The same maximum applies to the
+/// remaining cold period in an upstream's stored entry.
+const MAX_COLD_MS: Millis = 86_400_000;
 
-/// Something that an upstream can say of itself, as log lines name it.
+/// A kind of signal. Its `Display` form is its name in log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpstreamSignal {
-    /// Requests that it works on, that wait, and its slots.
+    /// The numbers of its running and waiting requests and of its slots.
     Load,
-    /// Requests a second that it takes from all boxes together.
+    /// The requests per second that it accepts from all boxes together.
     Limit,
-    /// It takes nothing new.
+    /// It is shutting down and accepts no new requests.
     Leaving,
-    /// It wants nothing from the box that it refused for a time.
+    /// After it refused a request, it wants no more from the same box for some time.
     Rest,
-    /// It bears few requests for a time.
+    /// It can handle only few requests for some time.
     Cold,
 }
 
 impl UpstreamSignal {
-    /// All of them.
+    /// All kinds of signals.
     pub const ALL: [Self; 5] = [
         Self::Load,
         Self::Limit,
@@ -52,29 +53,29 @@
     }
 }
 
-/// Why something that an upstream says can't be used.
+/// Why a signal of an upstream can't be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum UpstreamSignalError {
-    /// It is no decimal number of at most 32 bytes.
+    /// The value is not a decimal number of at most 32 bytes.
     #[error("it is no decimal number")]
     NoNumber,
-    /// It is negative, endless or beyond what can be.
+    /// The number is negative, infinite, NaN or larger than the signal allows.
     #[error("no such number can be meant")]
     OutOfRange,
-    /// It is not among the values that the signal has.
+    /// The value is not UTF-8 or not one that the signal can have.
     #[error("it is no known value")]
     UnknownValue,
-    /// One answer says it more than once.
+    /// The response has the signal more than once.
     #[error("the answer says it more than once")]
     Repeated,
 }
 
-/// How long an upstream that refused a request wants nothing more from the same box.
+/// How long an upstream that refused a request wants no more requests from the same box.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamRest(Millis);
 
 impl UpstreamRest {
-    /// The time in milliseconds, an hour at most.
+    /// Returns the time in milliseconds, at most one hour.
     pub fn ms(self) -> Millis {
         self.0
     }
@@ -83,18 +84,18 @@
 impl FromStr for UpstreamRest {
     type Err = UpstreamSignalError;
 
-    /// Reads seconds, with or without a fraction.
+    /// Parses a number of seconds, with or without a fraction.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        seconds(text, LONGEST_REST_MS).map(Self)
+        millis_from_seconds(text, MAX_REST_MS).map(Self)
     }
 }
 
-/// How much longer an upstream stays cold.
+/// How much longer an upstream stays cold, that is, can handle only few requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ColdTime(Millis);
 
 impl ColdTime {
-    /// The time in milliseconds, a day at most.
+    /// Returns the time in milliseconds, at most one day.
     pub fn ms(self) -> Millis {
         self.0
     }
@@ -103,31 +104,33 @@
 impl FromStr for ColdTime {
     type Err = UpstreamSignalError;
 
-    /// Reads seconds, with or without a fraction.
+    /// Parses a number of seconds, with or without a fraction.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        seconds(text, LONGEST_COLD_MS).map(Self)
+        millis_from_seconds(text, MAX_COLD_MS).map(Self)
     }
 }
 
-/// Reads seconds as milliseconds, cut to `longest_ms`.
-fn seconds(text: &str, longest_ms: Millis) -> Result<Millis, UpstreamSignalError> {
+/// Parses a number of seconds and returns milliseconds, rounded up and at most
+/// `max_ms`.
+fn millis_from_seconds(text: &str, max_ms: Millis) -> Result<Millis, UpstreamSignalError> {
     let seconds = decimal(text)?;
     if !seconds.is_finite() || seconds < 0.0 {
         return Err(UpstreamSignalError::OutOfRange);
     }
-    let ms = (seconds * 1_000.0).ceil().min(longest_ms as f64);
+    let ms = (seconds * 1_000.0).ceil().min(max_ms as f64);
     Ok(ms as Millis)
 }
 
-/// Reads a number of at most 32 bytes.
+/// Parses a number of at most 32 bytes. Infinities and NaN are accepted.
 pub fn decimal(text: &str) -> Result<f64, UpstreamSignalError> {
-    if text.len() > MOST_TEXT_BYTES {
+    if text.len() > MAX_TEXT_BYTES {
         return Err(UpstreamSignalError::NoNumber);
     }
     text.parse().map_err(|_| UpstreamSignalError::NoNumber)
 }
 
-/// The only one of a header's values, if there is one.
+/// Returns the trimmed value of a header, or `None` if it is absent. A header with more
+/// than one value is an error.
 pub fn only_value<'a>(
     mut values: impl Iterator<Item = &'a [u8]>,
 ) -> Result<Option<&'a str>, UpstreamSignalError> {
--- a/crates/types/tests/errors.rs
+++ b/crates/types/tests/errors.rs
@@ -1,4 +1,4 @@
-//! The table from error kind to answer, and the page that shows it.
+//! The table that maps each error kind to a response, and the page that documents it.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_types::{ErrorKind, Ran, RetryHint};
@@ -37,13 +37,13 @@
 }
 
 #[test]
-fn every_kind_stands_in_the_table_once_and_has_a_code_of_its_own() {
+fn every_kind_is_in_the_table_once_and_has_its_own_code() {
     let codes: std::collections::BTreeSet<_> = ErrorKind::ALL.iter().map(|k| k.code()).collect();
     assert_eq!(codes.len(), ErrorKind::ALL.len());
 }
 
 #[test]
-fn what_may_have_run_is_never_told_to_come_back() {
+fn a_request_that_may_have_run_gets_no_retry_time() {
     for kind in ErrorKind::ALL {
         let row = kind.answer();
         if row.ran == Ran::Unknown {
--- a/crates/types/tests/tickets.rs
+++ b/crates/types/tests/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets are good only with the key that signed them.
+//! A ticket is valid only with the key that signed it.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 use brasswinch_types::{BoxId, Incarnation, ServiceKey, Ticket, TicketError, TicketKey};
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_sealed_ticket_opens_to_what_it_was() {
+fn a_sealed_ticket_opens_to_the_original() {
     let key = TicketKey::new(b"a secret of some length");
     assert_eq!(key.open(&key.seal(&ticket())).unwrap(), ticket());
 }
@@ -35,8 +35,8 @@
     assert!(!shown.contains("secret"));
 }
 
-/// The same cases in every run.
-fn same_every_time() -> ProptestConfig {
+/// Generates the same cases in every run.
+fn fixed_seed() -> ProptestConfig {
     ProptestConfig {
         rng_seed: RngSeed::Fixed(7),
         failure_persistence: None,
@@ -45,7 +45,7 @@
 }
 
 proptest! {
-    #![proptest_config(same_every_time())]
+    #![proptest_config(fixed_seed())]
 
     #[test]
     fn a_changed_text_never_opens(position in any::<prop::sample::Index>(), letter in "[A-Za-z0-9_-]") {
@@ -54,13 +54,14 @@
         let at = position.index(text.len());
         if text[at..=at] != letter {
             text.replace_range(at..=at, &letter);
-            // The last character carries bits that no byte takes up.
+            // The last character may have bits that don't belong to any byte, so changing it
+            // may leave the ticket the same.
             prop_assert!(key.open(&text).is_err() || at + 1 == text.len());
         }
     }
 
     #[test]
-    fn any_text_is_read_without_harm(text in ".{0,2000}") {
+    fn any_other_text_is_rejected(text in ".{0,2000}") {
         let key = TicketKey::new(b"a secret of some length");
         prop_assert!(key.open(&text).is_err());
     }
