--- a/crates/decide/src/health.rs
+++ b/crates/decide/src/health.rs
@@ -10,7 +10,7 @@
 const EJECT_AFTER_FAILURES: u32 = 3;
 
 /// Duration of the first ejection. It doubles with each further failure.
-const MIN_EJECTION_MS: Millis = 500;
+const FIRST_EJECTION_MS: Millis = 500;
 
 /// Maximum duration of an ejection.
 const MAX_EJECTION_MS: Millis = 15_000;
@@ -107,7 +107,7 @@
             return;
         }
         let doublings = (self.failures - EJECT_AFTER_FAILURES).min(5);
-        let ejection = (MIN_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
+        let ejection = (FIRST_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
         self.closed_until = self.closed_until.max(now + ejection);
         self.warm_up_started_at = None;
     }
--- a/crates/decide/src/slots.rs
+++ b/crates/decide/src/slots.rs
@@ -170,7 +170,7 @@
 
     /// Applies a new table of unit owners.
     ///
-    /// `hold_back` tells whether a previous owner may have work or loans on units that are
+    /// `hold_back` indicates whether a previous owner may have work or loans on units that are
     /// new to this box.
     pub fn set_table(&mut self, table: &UnitTable, hold_back: HoldBack, now: Millis) {
         for slot in 0..self.slots.len() as u32 {
--- a/crates/decide/src/unit_claims.rs
+++ b/crates/decide/src/unit_claims.rs
@@ -103,7 +103,7 @@
 }
 
 /// Returns the units above its share that `me` should give up, so that boxes below their
-/// share can claim them. `is_unused` tells which units can be given up now.
+/// share can claim them. `is_unused` returns whether a unit can be given up now.
 pub fn surplus(
     table: &UnitTable,
     me: &BoxId,
--- a/crates/routing/src/demand.rs
+++ b/crates/routing/src/demand.rs
@@ -9,7 +9,7 @@
 
 /// Averaging time of demand for region plans. Each object that moves costs a first run, and
 /// another when the wave has passed; compared with an average over seconds, this raised the total
-/// answer value by 0.006 ± 0.002 and 0.004 ± 0.002 (two loads).
+/// answer value by 0.006 ± 0.002 and 0.004 ± 0.002 (two loads, 12 paired days each).
 const AVERAGING_TIME_MS: f64 = 120_000.0;
 
 /// Largest ratio between current and averaged demand; beyond it the plan follows at once, to
--- a/crates/routing/src/placement/coordinators.rs
+++ b/crates/routing/src/placement/coordinators.rs
@@ -10,9 +10,9 @@
 
 /// Largest number of requests, as a multiple of its slots, at an upstream already chosen for the
 /// object; from there on another upstream of this coordinator is advised. A box queues longer at a
-/// home, since its alternative is in another region; with that higher limit here there were up to
-/// 28 late answers at upstreams that had served their objects, compared with 22 (45 boxes, full
-/// load).
+/// home, since its alternative is in another region; with that higher limit here there were 28 late
+/// answers at upstreams that had served their objects, of 22 allowed (in simulation, with 45 boxes
+/// under full load).
 const MAX_FULLNESS_AT_CHOSEN: f64 = 1.6;
 
 /// Cost of each assigned object, in slots: the load of its later requests, at 0.44 per second of
@@ -22,7 +22,7 @@
 /// Cost of an upstream that isn't the object's home, as a multiple of its slots: a restarted
 /// coordinator has forgotten where it sent each object. With 0.05, 0.4 and 0.8 the total answer
 /// value was 0.847, 0.871 and 0.884 when all boxes restart, and 0.904, 0.904 and 0.900 under full
-/// load (60 boxes).
+/// load (in simulation, with 60 boxes and two seeds).
 const NON_HOME_COST: f64 = 0.4;
 
 /// The coordinators of a region: its serving boxes.
--- a/crates/routing/src/placement/service_upstreams.rs
+++ b/crates/routing/src/placement/service_upstreams.rs
@@ -14,13 +14,14 @@
 use brasswinch_types::{Millis, Region};
 
 /// Queue limit: requests at an upstream, as a multiple of its slots, from which on it gets no
-/// more. Compared with 1.7, 1.9 and 1.6 for this limit and the next two, the total answer value
-/// changed by 0.014 ± 0.014 with three slots per upstream.
+/// more. With this limit, `MAX_QUEUE_LAST_RESORT` and `MAX_QUEUE_BEFORE_LEAVING` at 2.4, 2.6 and 2.2
+/// instead of 1.7, 1.9 and 1.6, the total answer value was higher by 0.014 ± 0.014 where upstreams
+/// have three slots (4 paired days).
 const MAX_QUEUE: f64 = 2.4;
 
 /// Queue limit for a request for an object that the upstream has not served for this box: such a
 /// request takes longer, and a queue of them leaves the upstream no time to serve known objects
-/// faster. It raises the total answer value by 0.005 ± 0.004.
+/// faster. It raises a day's total answer value by 0.005 ± 0.004 (12 paired days).
 const MAX_QUEUE_UNSERVED: f64 = 1.35;
 
 /// Queue limit if no other region may take the request: it waits instead of being refused, as long
@@ -30,12 +31,13 @@
 /// Requests at a home that has served the object, as a multiple of its slots, below which a
 /// request waits there and doesn't take a free slot elsewhere: a first run takes about three times
 /// as long and leaves a copy that is seldom requested again. Compared with not waiting, 1.6 raised
-/// the total answer value by 0.010 ± 0.002 and 0.006 ± 0.002 (two loads).
+/// the total answer value by 0.010 ± 0.002 and 0.006 ± 0.002 (two loads, 12 paired days each).
 const MAX_QUEUE_BEFORE_LEAVING: f64 = 2.2;
 
 /// Fraction of each queue limit that less urgent requests may use while urgent requests of the
 /// service are refused; the rest is reserved for urgent ones. It raises the total answer value by
-/// 0.0013 ± 0.0013 where services share routes of two ranks, with no effect shown elsewhere.
+/// 0.0013 ± 0.0013 where services share routes of two ranks, with no effect shown elsewhere (12
+/// paired days each).
 const LESS_URGENT_QUEUE_FRACTION: f64 = 0.8;
 
 /// How long the reservation lasts after an urgent request was refused.
--- a/crates/routing/src/quarantine/message.rs
+++ b/crates/routing/src/quarantine/message.rs
@@ -1,4 +1,4 @@
-//! Messages between boxes about requests under which upstreams ended.
+//! Messages between boxes about requests during which upstreams crashed.
 
 use super::record::{MAX_CRASHES, Suspect};
 use crate::request_digest::RequestDigest;
--- a/crates/routing/src/quarantine/mod.rs
+++ b/crates/routing/src/quarantine/mod.rs
@@ -3,7 +3,7 @@
 //! A crash here is an attempt whose connection to the upstream broke without a response. The box
 //! that sees it reports it to the request's coordinators, two boxes chosen by rendezvous hashing
 //! on the request's digest. After [`CRASHES_TO_SUSPECT`] crashes, one after another with no
-//! answered attempt in between, they tell all boxes that the request is suspected. It is then
+//! answered attempt in between, they broadcast that the request is suspected. It is then
 //! placed by its own digest, apart from other requests for the same object, and each box reports
 //! when an attempt is answered. After [`CRASHES_TO_QUARANTINE`] crashes the request is
 //! quarantined. Boxes exchange the crashes themselves, so that all reach the same verdict in
@@ -27,7 +27,7 @@
 use std::net::SocketAddr;
 
 /// Number of sequential crashes from which a request is suspected. Any request may be running when
-/// its upstream ends; a second crash at another upstream is rare.
+/// its upstream crashes; a second crash at another upstream is rare.
 const CRASHES_TO_SUSPECT: usize = 2;
 
 /// Number of sequential crashes from which a request is quarantined: as many as the platform
@@ -43,7 +43,7 @@
 /// A change in what is known of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineChange {
-    /// Upstreams ended under it twice in sequence.
+    /// Upstreams crashed twice in sequence while running it.
     Suspected,
     /// It is quarantined.
     Quarantined,
@@ -66,7 +66,7 @@
     pub crashes: Vec<UpstreamCrash>,
 }
 
-/// One box's records of requests under which upstreams ended.
+/// One box's records of requests during which upstreams crashed.
 #[derive(Debug)]
 pub struct Quarantine {
     records: BTreeMap<RequestDigest, Record>,
@@ -101,7 +101,7 @@
         record.map_or(Verdict::Unknown, |record| record.verdict(now))
     }
 
-    /// Records that an upstream ended under the request at this box.
+    /// Records that an upstream crashed while running the request, as this box saw it.
     pub fn record_crash(
         &mut self,
         digest: RequestDigest,
--- a/crates/routing/src/quarantine/record.rs
+++ b/crates/routing/src/quarantine/record.rs
@@ -62,7 +62,7 @@
 pub enum Verdict {
     /// No crash is on record.
     Unknown,
-    /// An upstream ended under it: the request is placed by its own digest.
+    /// An upstream crashed while running it: the request is placed by its own digest.
     Suspect,
     /// The request is quarantined.
     Quarantined {
--- a/crates/routing/src/quarantine/status.rs
+++ b/crates/routing/src/quarantine/status.rs
@@ -1,4 +1,4 @@
-//! The status of requests under which upstreams ended, for operators.
+//! The status of requests during which upstreams crashed, for operators.
 
 use super::record::{Level, Record, Verdict};
 use crate::request_digest::RequestDigest;
@@ -15,7 +15,7 @@
     pub service: Service,
     /// Its workspace; `None` where no key is needed.
     pub workspace: Option<Workspace>,
-    /// Number of upstreams that ended under it in sequence.
+    /// Number of upstreams that crashed in sequence while running it.
     pub crashes: usize,
     /// Time since the last of them ended, in milliseconds.
     pub last_ago_ms: Millis,
--- a/crates/routing/src/quota/coordinator.rs
+++ b/crates/routing/src/quota/coordinator.rs
@@ -45,8 +45,8 @@
 /// duration, since each broadcast requests the loans again.
 const REBROADCAST_INTERVAL_MS: Millis = 500;
 
-/// Bounds of the retry time for refused clients, in milliseconds: at least a request's way, and no
-/// longer than the clients with the shortest deadlines wait.
+/// Bounds of the retry time for refused clients, in milliseconds: at least the time that a request
+/// takes to arrive, and no longer than the clients with the shortest deadlines wait.
 const RETRY_AFTER_MS: std::ops::RangeInclusive<f64> = 100.0..=5_000.0;
 
 /// The count of one workspace.
--- a/crates/routing/src/quota/local.rs
+++ b/crates/routing/src/quota/local.rs
@@ -21,9 +21,9 @@
 
 /// Most requests that a box sends without a grant while the coordinator hasn't acknowledged them.
 /// Beyond them it asks for a grant, so that the requests sent before boxes learn that a workspace
-/// is near its limit don't grow with the traffic. In simulations, where messages are never slow,
-/// the worst of six windows had 2,251 requests with this limit and 2,233 without, of 2,409 allowed
-/// (half of 75 boxes cut off).
+/// is near its limit don't grow with the traffic. Simulations, where messages are never slow, show
+/// no gain: the worst of six windows had 2,251 requests with this limit and 2,233 without, of 2,409
+/// allowed (half of 75 boxes cut off).
 const MAX_PENDING_COUNTS: usize = 2;
 
 /// Time after which a reply counts as lost.
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -22,9 +22,9 @@
 //!   + MAX_PENDING_COUNTS * N              requests sent before boxes received the broadcast
 //! ```
 //!
-//! with `overage = (rate * W + burst) * more + slack` as the bound allows. Quotas so small that
-//! the slack covers two coordinators with the whole quota each need no loans: boxes send too
-//! seldom to lend.
+//! where the bounds allow `overage = (rate * W + burst) * bounds.overage + bounds.slack` requests
+//! beyond the quota ([`QuotaBounds`]). Quotas so small that the slack covers two coordinators with
+//! the whole quota each need no loans: boxes send too seldom to lend.
 
 mod coordinator;
 mod loan;
@@ -192,8 +192,8 @@
     }
 
     /// Whether this box knows the fleet. After its start it discovers the other boxes one by one,
-    /// and would itself grant requests that all boxes together grant. A box that knows no other
-    /// may be cut off.
+    /// and until then it would grant alone what all boxes together may grant. A box that knows no
+    /// other may be cut off.
     pub fn is_settled(&mut self, now: Millis) -> bool {
         let knows_size = match self.fleet_size {
             KnownSize::Reported(_) => true,
--- a/crates/routing/src/region_plan.rs
+++ b/crates/routing/src/region_plan.rs
@@ -9,7 +9,7 @@
 
 /// Factor by which a region may exceed its even share of the load to keep requests near their
 /// callers. At 1.6 its upstreams were full while others had capacity; 1.25 raised the total answer
-/// value by 0.010 ± 0.007 and 0.006 ± 0.006 (two loads).
+/// value by 0.010 ± 0.007 and 0.006 ± 0.006 (two loads, 12 paired days each).
 const LOCAL_PREFERENCE_FACTOR: f64 = 1.25;
 
 /// Fraction of the shift limit that the plan uses; the rest covers randomness and spills.
--- a/crates/routing/src/upstream_limits/coordinator.rs
+++ b/crates/routing/src/upstream_limits/coordinator.rs
@@ -7,7 +7,7 @@
 use brasswinch_types::Millis;
 use std::collections::HashMap;
 
-/// Minimum rate, whatever the limit: only a response tells that a limit has ended. In 4 s these
+/// Minimum rate, whatever the limit: only a response shows that a limit has ended. In 4 s these
 /// are two requests, of the five that are allowed under a limit of 0.
 const MIN_RATE_PER_S: f64 = 0.5;
 
@@ -37,8 +37,8 @@
 /// Number of requests of other boxes that a refused box lets go first.
 const YIELDED_REQUESTS: f64 = 2.0;
 
-/// Bounds of the retry time for refused clients, in milliseconds: at least a request's way, and no
-/// longer than the clients with the shortest deadlines wait.
+/// Bounds of the retry time for refused clients, in milliseconds: at least the time that a request
+/// takes to arrive, and no longer than the clients with the shortest deadlines wait.
 const RETRY_AFTER_MS: std::ops::RangeInclusive<f64> = 100.0..=5_000.0;
 
 /// The count of one upstream.
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -3,6 +3,8 @@
 
 use brasswinch_routing::{FleetSize, KnownSize, SIZE_RETENTION_MS};
 
+/// Guards against a box that counts only the boxes that it reaches, before it learns the fleet's size
+/// or after the box that reported it is gone.
 #[test]
 fn a_box_takes_its_side_of_a_partition_for_the_whole_fleet() {
     let mut size = FleetSize::default();
@@ -27,6 +29,7 @@
     assert_eq!(size.boxes(), 12);
 }
 
+/// Guards against boxes that report each other's old values back and forth.
 #[test]
 fn a_box_reports_a_size_that_only_other_boxes_reported() {
     let mut size = FleetSize::default();
@@ -38,6 +41,8 @@
     assert_eq!(size.to_report(), 60);
 }
 
+/// Guards against a stored size that isn't raised when the fleet grows, or that is lowered by a box
+/// that reaches only one side of a partition.
 #[test]
 fn the_stored_size_misses_growth_or_falls_to_that_of_one_side_of_a_partition() {
     let mut size = FleetSize::default();
@@ -51,6 +56,7 @@
     assert_eq!(size.to_store(), Some(76));
 }
 
+/// Guards against a size that is never lowered; it is lowered once the retention time has passed.
 #[test]
 fn a_fleet_that_shrank_is_never_recorded_as_smaller() {
     let mut size = FleetSize::default();
--- a/crates/routing/tests/health_askers.rs
+++ b/crates/routing/tests/health_askers.rs
@@ -31,6 +31,7 @@
     boxes.iter().filter(probes).map(|(id, _)| *id).collect()
 }
 
+/// Guards against duplicate and missing probes: exactly one box probes each upstream.
 #[test]
 fn several_boxes_probe_the_same_upstream_or_none_does() {
     for number in 0..200 {
@@ -49,6 +50,7 @@
     }
 }
 
+/// Guards against one box that gets all upstreams of its zone: the zone's boxes share them.
 #[test]
 fn one_box_probes_all_upstreams_of_its_zone() {
     let ids = (0..200).map(|number| format!("upstream-{number}"));
--- a/crates/routing/tests/late_answers.rs
+++ b/crates/routing/tests/late_answers.rs
@@ -53,7 +53,7 @@
     List(usize),
     Watch(usize),
     Ask(usize, usize),
-    Tell(usize, usize),
+    Announce(usize, usize),
     /// One of the replies in flight to a box arrives.
     Arrive(usize, prop::sample::Index),
 }
@@ -68,7 +68,7 @@
         (0..BOXES).prop_map(Step::List),
         (0..BOXES).prop_map(Step::Watch),
         (0..BOXES, 0..BOXES).prop_map(|(asker, asked)| Step::Ask(asker, asked)),
-        (0..BOXES, 0..BOXES).prop_map(|(from, to)| Step::Tell(from, to)),
+        (0..BOXES, 0..BOXES).prop_map(|(from, to)| Step::Announce(from, to)),
         arrive(),
         arrive(),
         arrive(),
@@ -104,7 +104,7 @@
                 let updates = self.boxes[asked].missing(SCOPE, after, None);
                 self.in_flight[asker].extend(updates.map(Reply::Updates));
             }
-            Step::Tell(from, to) => {
+            Step::Announce(from, to) => {
                 let claim = claim_of(&self.boxes[from]);
                 self.in_flight[to].extend(claim.map(Reply::Known));
             }
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -156,7 +156,7 @@
     );
 }
 
-/// Guards against one log line for each answer with a signal that can't be parsed.
+/// Guards against a signal that can't be parsed counting as new, and being logged, with each answer.
 #[test]
 fn an_unreadable_signal_is_new_with_each_answer() {
     let mut test = Test::new(placement_in("west"));
@@ -168,7 +168,7 @@
     assert!(test.placement.record_unreadable_signal(&next));
 }
 
-/// Guards against a reported cold period of a year being applied in full.
+/// Guards against a reported cold period, here a year, that isn't capped at that of the service.
 #[test]
 fn a_reported_cold_period_outlasts_that_of_the_service() {
     const YEAR_MS: u64 = 31_536_000_000;
@@ -186,7 +186,7 @@
     );
 }
 
-/// Guards against a reported cold period overriding a later entry, and applying to the next
+/// Guards against a reported cold period that overrides a later entry or applies to the next
 /// incarnation.
 #[test]
 fn a_reported_cold_period_overrides_a_later_entry_or_incarnation() {
--- a/crates/routing/tests/quota_loans.rs
+++ b/crates/routing/tests/quota_loans.rs
@@ -83,8 +83,8 @@
     }
 }
 
-/// Guards against two boxes that coordinate a quota at once and each fill the bucket at the rate
-/// of all boxes.
+/// Guards against a share that is lent twice: two boxes that coordinate a quota at once would each
+/// fill their bucket at the rate of all boxes.
 #[test]
 fn a_box_lends_its_share_to_two_coordinators() {
     let (mut quotas, coordinator) = box_and_coordinator();
@@ -128,8 +128,8 @@
     );
 }
 
-/// Guards against a box that uses its own share when the coordinator stops replying but still
-/// fills its bucket with that share.
+/// Guards against a share that is used twice: by its box, since the coordinator stopped replying,
+/// and by the coordinator, which still fills its bucket with it.
 #[test]
 fn a_box_uses_its_share_while_it_is_lent() {
     let (mut quotas, coordinator) = box_and_coordinator();
@@ -225,8 +225,8 @@
     assert!(ask(&mut quotas, 812).count.loan.is_some());
 }
 
-/// Guards against a box that doesn't know the fleet's size and lends or coordinates as if its side
-/// of a cut were the whole fleet.
+/// Guards against a box that doesn't know the fleet's size and lends a share, or coordinates, as if
+/// its side of a partition were the whole fleet.
 #[test]
 fn a_box_that_does_not_know_the_fleet_s_size_owns_a_share() {
     let (mut quotas, coordinator) = box_and_coordinator();
--- a/crates/routing/tests/quotas.rs
+++ b/crates/routing/tests/quotas.rs
@@ -494,8 +494,8 @@
             "seed {seed}: {max_runs} requests, of {} allowed",
             allowed(LIMIT)
         );
-        let pressed = model.runs.iter().filter(|at| (7_000..20_000).contains(*at));
-        let per_s = pressed.count() as f64 / 13.0;
+        let sent_under_overload = model.runs.iter().filter(|at| (7_000..20_000).contains(*at));
+        let per_s = sent_under_overload.count() as f64 / 13.0;
         assert!(
             per_s > LIMIT.rate_per_s * 0.9,
             "seed {seed}: {per_s} per second"
--- a/crates/routing/tests/quotas_in_cuts.rs
+++ b/crates/routing/tests/quotas_in_cuts.rs
@@ -352,20 +352,21 @@
     }
 }
 
-/// Guards against boxes that started in a cut zone, take that zone for the whole fleet and use one
-/// whole quota per zone.
+/// Guards against boxes that start in a cut-off zone and take it for the whole fleet, so that each
+/// zone uses the whole quota. The cut-off zones don't reach the store and serve when the cut ends.
 #[test]
 fn zones_that_start_cut_off_each_spend_the_whole_quota() {
     assert_within_bound(Store::CutOff, 0..4);
 }
 
-/// Guards against the same while the zones are still cut off from each other.
+/// Guards against the same in zones that reach the store, so that their boxes serve while the zones
+/// are still cut off from each other.
 #[test]
 fn zones_that_are_cut_off_from_each_other_each_spend_the_whole_quota() {
     assert_within_bound(Store::Reachable, 0..4);
 }
 
-/// Checks that a workspace below its quota is still served when zones reconnect.
+/// Guards against refusing a workspace below its quota after zones reconnect.
 #[test]
 fn a_workspace_under_its_quota_is_refused_after_zones_reconnect() {
     /// Traffic, as a fraction of the limit.
--- a/crates/routing/tests/resting_upstreams.rs
+++ b/crates/routing/tests/resting_upstreams.rs
@@ -86,7 +86,7 @@
     assert_ne!(test.choose(2_900).upstream, first.upstream);
 }
 
-/// Guards against a retry time that ends before the backoff of every upstream.
+/// Guards against a retry time that ends while all upstreams are still backing off.
 #[test]
 fn the_retry_time_ends_before_the_first_backoff() {
     let mut test = Test::new();
@@ -110,8 +110,8 @@
     assert_eq!(basis.home.unwrap().state, HomeState::BackingOff);
 }
 
-/// Guards against losing the backoff with the upstream's entry: the upstream got requests before
-/// its end.
+/// Guards against losing the backoff with the upstream's entry: the upstream then got requests
+/// before the backoff ended.
 #[test]
 fn a_backoff_is_dropped_when_the_entry_is_lost_and_comes_back() {
     let mut test = Test::new();
--- a/crates/routing/tests/shared_bounds.rs
+++ b/crates/routing/tests/shared_bounds.rs
@@ -206,18 +206,19 @@
 #[test]
 fn averaged_demand_follows_minutes_and_bounds_what_departs_from_them() {
     let (west, north) = (Region::new("west"), Region::new("north"));
-    let asks = |west_asks: f64| BTreeMap::from([(west.clone(), west_asks), (north.clone(), 1.0)]);
+    let demand =
+        |west_demand: f64| BTreeMap::from([(west.clone(), west_demand), (north.clone(), 1.0)]);
     let mut average = AveragedDemand::default();
-    average.add(&asks(1.5), 0);
-    average.add(&asks(1.5), 5_000);
-    let seconds = average.planned(&asks(1.5))[&west];
+    average.add(&demand(1.5), 0);
+    average.add(&demand(1.5), 5_000);
+    let seconds = average.planned(&demand(1.5))[&west];
     assert!((0.5..0.51).contains(&seconds), "{seconds}");
-    let far = average.planned(&asks(99.0))[&west];
+    let far = average.planned(&demand(99.0))[&west];
     assert!((far - 0.99 / 1.8).abs() < 1e-9, "{far}");
     for minute in 1..=10 {
-        average.add(&asks(1.5), 60_000 * minute);
+        average.add(&demand(1.5), 60_000 * minute);
     }
-    let minutes = average.planned(&asks(1.5))[&west];
+    let minutes = average.planned(&demand(1.5))[&west];
     assert!((0.59..0.61).contains(&minutes), "{minutes}");
 }
 
