--- a/crates/routing/src/placement/lost_entries.rs
+++ b/crates/routing/src/placement/lost_entries.rs
@@ -6,7 +6,8 @@
 //!
 //! An upstream that leaves during such a loss looks the same. Lost entries are therefore retained
 //! for a limited time from when they were last known to exist: an upstream that left did so after
-//! that, so it gets requests for at most that time after it left, however long the update took. Only if the store itself has failed for this box since then does the time start now.
+//! that, so it gets requests for at most that time after it left, however long the update took.
+//! Only if the store itself has failed for this box since then does the time start now.
 
 use super::entry::{Entry, Lost};
 use crate::fleet_state::FleetState;
--- a/crates/routing/src/placement/service_upstreams.rs
+++ b/crates/routing/src/placement/service_upstreams.rs
@@ -14,9 +14,9 @@
 use brasswinch_types::{Millis, Region};
 
 /// Queue limit: requests at an upstream, as a multiple of its slots, from which on it gets no
-/// more. With this limit, `MAX_QUEUE_LAST_RESORT` and `MAX_QUEUE_BEFORE_LEAVING` at 2.4, 2.6 and 2.2
-/// instead of 1.7, 1.9 and 1.6, the total answer value was higher by 0.014 ± 0.014 where upstreams
-/// have three slots (4 paired days).
+/// more. With this limit, `MAX_QUEUE_LAST_RESORT` and `MAX_QUEUE_BEFORE_LEAVING` at 2.4, 2.6 and
+/// 2.2 instead of 1.7, 1.9 and 1.6, the total answer value was higher by 0.014 ± 0.014 where
+/// upstreams have three slots (4 paired days).
 const MAX_QUEUE: f64 = 2.4;
 
 /// Queue limit for a request for an object that the upstream has not served for this box: such a
--- a/crates/routing/src/quarantine/record.rs
+++ b/crates/routing/src/quarantine/record.rs
@@ -89,8 +89,8 @@
 pub(super) struct Record {
     suspect: Suspect,
     /// Crashes, each of an attempt that began after the one before had ended. Of attempts that
-    /// overlap in time only one counts: where many upstreams end together, none of their requests
-    /// is the cause.
+    /// overlap in time only one counts: where many upstreams crash together, none of their
+    /// requests is the cause.
     crashes: Vec<UpstreamCrash>,
     /// When an attempt was last answered; 0 if never.
     answered_at: Millis,
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -3,8 +3,8 @@
 
 use brasswinch_routing::{FleetSize, KnownSize, SIZE_RETENTION_MS};
 
-/// Guards against a box that counts only the boxes that it reaches, before it learns the fleet's size
-/// or after the box that reported it is gone.
+/// Guards against a box that counts only the boxes that it reaches, before it learns the fleet's
+/// size or after the box that reported it is gone.
 #[test]
 fn a_box_takes_its_side_of_a_partition_for_the_whole_fleet() {
     let mut size = FleetSize::default();
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -156,7 +156,8 @@
     );
 }
 
-/// Guards against a signal that can't be parsed counting as new, and being logged, with each answer.
+/// Guards against a signal that can't be parsed counting as new, and being logged, with each
+/// answer.
 #[test]
 fn an_unreadable_signal_is_new_with_each_answer() {
     let mut test = Test::new(placement_in("west"));
