--- a/crates/edge/src/attempt.rs
+++ b/crates/edge/src/attempt.rs
@@ -28,8 +28,8 @@
 /// upstream closes an idle connection while the request is sent, it is unknown whether it ran.
 const MAX_IDLE_ONCE: Duration = Duration::from_secs(3);
 
-/// Maximum idle time of a connection for repeatable requests. The pool applies a shorter limit
-/// of its own.
+/// Maximum idle time of a connection for repeatable requests. The pool closes idle connections
+/// earlier: at its own limit, or sooner if the upstream announces a shorter one.
 const MAX_IDLE_REPEATABLE: Duration = Duration::from_secs(3_600);
 
 /// A request to be sent to an upstream.
@@ -78,10 +78,11 @@
     TimedOut,
 }
 
-/// A chosen upstream, with the placement request and the limit's grant that go with it.
+/// A chosen upstream, with the grant of its limit and the guard that reports the request's outcome
+/// to the coordinator.
 pub(crate) struct Chosen {
     pub(crate) choice: Choice,
-    pub(crate) asked: Option<CompletionGuard>,
+    pub(crate) completion_guard: Option<CompletionGuard>,
     pub(crate) grant: Grant,
 }
 
@@ -90,8 +91,8 @@
     context: Arc<Context>,
     choice: Choice,
     grant: Grant,
-    /// The placement request that it was chosen by; completed when this is dropped.
-    asked: Option<CompletionGuard>,
+    /// Reports the outcome to the coordinator that was asked where to send the request.
+    completion_guard: Option<CompletionGuard>,
     digest: Option<RequestDigest>,
     request_id: Option<HeaderValue>,
     outcome: UpstreamOutcome,
@@ -101,16 +102,16 @@
     pub(crate) fn new(context: &Arc<Context>, chosen: Chosen, outgoing: &Outgoing<'_>) -> Self {
         let Chosen {
             choice,
-            mut asked,
+            mut completion_guard,
             grant,
         } = chosen;
         let headers = &outgoing.parts.headers;
         let request_id = headers.get(&context.dialect.request_id);
-        if let Some(asked) = &mut asked {
-            asked.sent_to(&choice);
+        if let Some(completion_guard) = &mut completion_guard {
+            completion_guard.sent_to(&choice);
         }
         Self {
-            asked,
+            completion_guard,
             digest: outgoing.digest,
             request_id: request_id.cloned(),
             context: Arc::clone(context),
@@ -127,8 +128,8 @@
         let mut placement = self.context.placement();
         placement.ended(&self.choice, self.outcome, now);
         drop(placement);
-        if let Some(asked) = &mut self.asked {
-            asked.ended(self.outcome);
+        if let Some(completion_guard) = &mut self.completion_guard {
+            completion_guard.ended(self.outcome);
         }
     }
 }
@@ -389,8 +390,8 @@
     fn apply_signals(&mut self, signals: &UpstreamSignals) {
         self.context
             .apply_upstream_signals(&self.choice, self.grant, signals);
-        if let (Some(report), Some(asked)) = (signals.load, &mut self.asked) {
-            asked.reported(report);
+        if let (Some(report), Some(completion_guard)) = (signals.load, &mut self.completion_guard) {
+            completion_guard.reported(report);
         }
     }
 
--- a/crates/edge/src/body.rs
+++ b/crates/edge/src/body.rs
@@ -36,7 +36,7 @@
 pub(crate) struct BufferedBody {
     /// The buffered bytes.
     pub(crate) bytes: Bytes,
-    /// The remainder, if the body is longer than the limit.
+    /// The remainder, not read yet, if the body is longer than the buffer limit.
     pub(crate) remainder: Option<Incoming>,
 }
 
--- a/crates/edge/src/counted.rs
+++ b/crates/edge/src/counted.rs
@@ -3,7 +3,7 @@
 use crate::context::Context;
 use std::sync::atomic::Ordering;
 
-/// Divisor of the allowed memory: buffered bodies may take one such part.
+/// Buffered bodies may use at most the process's allowed memory divided by this.
 const BUFFER_MEMORY_DIVISOR: usize = 4;
 
 /// Counts a request while it is in flight.
@@ -29,6 +29,8 @@
 }
 
 impl<'a> BufferedBytes<'a> {
+    /// Reserves `bytes` for a body. Returns `None` if buffered bodies would exceed their part of
+    /// the memory.
     pub(crate) fn reserve(context: &'a Context, bytes: usize) -> Option<Self> {
         let max_bytes = context.settings.memory_bytes / BUFFER_MEMORY_DIVISOR;
         let before = context.buffered_bytes.fetch_add(bytes, Ordering::Relaxed);
--- a/crates/edge/src/datagram.rs
+++ b/crates/edge/src/datagram.rs
@@ -13,28 +13,29 @@
     /// Membership and gossip.
     #[serde(rename = "s")]
     Swim(SwimMessage),
-    /// Asks an upstream's owner where to send a request.
+    /// Asks an upstream's coordinator where to send a request.
     #[serde(rename = "q")]
     AdviceQuery(AdviceQuery),
-    /// The reply to a placement request.
+    /// The coordinator's reply to an advice query.
     #[serde(rename = "a")]
     Advice(Advice),
-    /// Reports the outcome of a request to the owner that was asked where to send it.
+    /// Reports the outcome of a request to the coordinator that was asked where to send it.
     #[serde(rename = "e")]
     CompletionReport(CompletionReport),
-    /// Reports a request of a workspace with a quota to the quota's owner; may ask to send it.
+    /// Reports a request of a workspace with a quota to the quota's coordinator, and may ask for a
+    /// grant to send it.
     #[serde(rename = "c")]
     QuotaCount(QuotaCount),
-    /// The quota owner's reply.
+    /// The reply of the quota's coordinator.
     #[serde(rename = "w")]
     QuotaReply(QuotaReply),
-    /// Reports upstreams that crashed under a request, or a run of it that was answered.
+    /// Reports a request under which upstreams crashed, or a run of such a request that completed.
     #[serde(rename = "r")]
     CrashReport(CrashReport),
     /// Asks for a grant to send a request to an upstream with a limit.
     #[serde(rename = "l")]
     LimitQuery(LimitQuery),
-    /// The limit owner's reply.
+    /// The reply of the limit's coordinator.
     #[serde(rename = "g")]
     LimitReply(LimitReply),
     /// Announces that an upstream has set, changed or removed its limit.
--- a/crates/edge/src/exchange.rs
+++ b/crates/edge/src/exchange.rs
@@ -35,8 +35,9 @@
 /// Maximum attempts per request in which nothing can be sent to the upstream.
 const MAX_UNREACHABLE_ATTEMPTS: u32 = 4;
 
-/// Owners of upstream limits that are asked for one request, one after the other. Each costs a
-/// round trip, and after a refusal the next requests go elsewhere without asking.
+/// Maximum coordinators of upstreams' limits that are asked to grant one request, one after the
+/// other. Each costs a round trip, and after a refusal the next requests go elsewhere without
+/// asking.
 const MAX_GRANT_REQUESTS: u32 = 3;
 
 /// Handles one request and returns its response.
@@ -60,7 +61,7 @@
                 Failure::Refused { retry_after_ms, .. } => {
                     refusal_response(ErrorKind::AtCapacity, retry_after_ms)
                 }
-                Failure::ShutOut { retry_after_ms, .. } => {
+                Failure::Quarantined { retry_after_ms, .. } => {
                     refusal_response(ErrorKind::ShutOut, retry_after_ms)
                 }
             }
@@ -109,7 +110,7 @@
                 "{detail} upstream=- workspace={workspace} retry_after_ms={retry_after_ms}"
             ),
         ),
-        Failure::ShutOut {
+        Failure::Quarantined {
             retry_after_ms,
             digest,
         } => emit(
@@ -176,7 +177,9 @@
     context.metrics.count(&routed.service, outcome);
     if result.is_ok() {
         let (service, kind) = (&routed.service, routed.route.kind);
-        context.metrics.answered(service, kind, arrived.elapsed());
+        context
+            .metrics
+            .record_latency(service, kind, arrived.elapsed());
     }
     result
 }
@@ -247,8 +250,9 @@
         let mut attempts = Attempts::new(&buffered);
         let mut body = Some(self.outgoing_body(buffered, in_force));
         loop {
-            // A client repeats a crashing request at other boxes, which haven't seen it before:
-            // without this check 40 repeats crashed 31 to 36 upstreams, with it 3 or 4.
+            // A client repeats a crashing request at other boxes, which haven't seen it before, so
+            // each repeat would reach two upstreams: without this check 40 repeats crashed 31 to 36
+            // upstreams, with it 3 or 4.
             self.check_quarantine(&mut attempts)
                 .map_err(|failure| attempts.corrected_failure(failure))?;
             let chosen = self
@@ -356,14 +360,15 @@
                 attempts.placement_key = Some(digest.to_bytes());
                 Ok(())
             }
-            Verdict::Quarantined { for_ms } => Err(Failure::ShutOut {
+            Verdict::Quarantined { for_ms } => Err(Failure::Quarantined {
                 retry_after_ms: for_ms,
                 digest,
             }),
         }
     }
 
-    /// Chooses the upstream of the next attempt. Fails if the deadline has passed.
+    /// Chooses the upstream of the next attempt. Fails if the deadline has passed, or if too many
+    /// attempts could not reach their upstream.
     async fn next_upstream(&self, attempts: &Attempts) -> Result<Chosen, Failure> {
         if self.deadline.has_passed() {
             return Err(ErrorKind::TimeoutBeforeSend.into());
@@ -385,11 +390,11 @@
             && attempts.can_resend
             && attempts.sent < self.route.max_attempts
             && !self.deadline.has_passed()
-            && !self.is_shut_out(attempts)
+            && !self.is_quarantined(attempts)
             && self.context.spend_retry(&self.service)
     }
 
-    fn is_shut_out(&self, attempts: &Attempts) -> bool {
+    fn is_quarantined(&self, attempts: &Attempts) -> bool {
         let verdict = |digest: &RequestDigest| self.context.quarantine_verdict(*digest);
         let verdict = attempts.digest.get().map(verdict);
         matches!(verdict, Some(Verdict::Quarantined { .. }))
@@ -427,9 +432,9 @@
     }
 
     /// Chooses an upstream whose request limit leaves room for the request.
-    // An upstream's limit holds for all boxes together, so the box that owns the limit grants each
-    // request: at a limit of 5 per second three boxes sent 222 requests in 4 s without grants, and
-    // 21 or 22 with them.
+    // An upstream's limit holds for all boxes together, and only its coordinator can count all
+    // requests, so it grants each of them: at a limit of 5 per second three boxes sent 222 requests
+    // in 4 s without grants, and 21 or 22 with them.
     async fn choose(&self, attempts: &Attempts) -> Result<Chosen, Failure> {
         let mut grant_requests = 0;
         loop {
@@ -473,8 +478,8 @@
             tried,
         };
         // Later attempts are rare and go to another upstream than the one advised first, so they
-        // are placed without asking.
-        let (asked, advice) = if tried.is_empty() {
+        // are placed without asking the coordinator.
+        let (completion_guard, advice) = if tried.is_empty() {
             advice::request_advice(self.context, &wanted, self.deadline.left()).await
         } else {
             (None, None)
@@ -485,7 +490,7 @@
         drop(placement);
         let chosen = chosen.map(|choice| Chosen {
             choice,
-            asked,
+            completion_guard,
             grant: Grant::NotNeeded,
         });
         chosen.map_err(|refusal| match refusal {
--- a/crates/edge/src/failure.rs
+++ b/crates/edge/src/failure.rs
@@ -13,6 +13,8 @@
 pub(crate) struct LoggedChoice {
     pub(crate) upstream: UpstreamId,
     basis: Basis,
+    /// How long ago this box learned that the upstream's entry was lost; `None` if the entry
+    /// exists.
     lost_ms: Option<Millis>,
 }
 
@@ -65,7 +67,7 @@
         retry_after_ms: Millis,
     },
     /// The request is quarantined because it crashes upstreams.
-    ShutOut {
+    Quarantined {
         retry_after_ms: Millis,
         digest: RequestDigest,
     },
@@ -81,7 +83,7 @@
         match self {
             Self::Kind(kind) | Self::AtUpstream { kind, .. } => *kind,
             Self::OverQuota { .. } => ErrorKind::OverQuota,
-            Self::ShutOut { .. } => ErrorKind::ShutOut,
+            Self::Quarantined { .. } => ErrorKind::ShutOut,
             Self::Refused { .. } => ErrorKind::AtCapacity,
         }
     }
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,5 +1,5 @@
 //! A box's traffic path for routed requests: it accepts clients, finds the route and an
-//! upstream, and forwards the request and its answer.
+//! upstream, and forwards the request and its response.
 //!
 //! Settings, header names ([`Dialect`]) and the store ([`FleetStore`]) are supplied by the
 //! caller.
--- a/crates/edge/src/look_up.rs
+++ b/crates/edge/src/look_up.rs
@@ -37,10 +37,10 @@
         let mut near: Vec<CandidateBox> = all
             .iter()
             .filter(is_near)
-            .map(|record| named_box(record))
+            .map(|record| candidate_box(record))
             .collect();
         if near.is_empty() {
-            near = all.iter().map(|record| named_box(record)).collect();
+            near = all.iter().map(|record| candidate_box(record)).collect();
         }
         DirectoryAnswer {
             addresses: select_boxes(&near, zone, &mut rand::rng()),
@@ -49,7 +49,7 @@
     }
 }
 
-fn named_box(record: &MemberRecord) -> CandidateBox {
+fn candidate_box(record: &MemberRecord) -> CandidateBox {
     CandidateBox {
         address: record.caller_address,
         zone: record.zone.clone(),
--- a/crates/edge/src/metrics.rs
+++ b/crates/edge/src/metrics.rs
@@ -43,7 +43,7 @@
     }
 
     /// Records the latency of an answered request.
-    pub(crate) fn answered(&self, service: &Service, kind: RouteKind, took: Duration) {
+    pub(crate) fn record_latency(&self, service: &Service, kind: RouteKind, took: Duration) {
         let class = match kind {
             RouteKind::Repeatable => Class::Repeatable,
             RouteKind::Once => Class::Once(OnceProof::default()),
--- a/crates/edge/src/pending_replies.rs
+++ b/crates/edge/src/pending_replies.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// A reply that is waited for. Dropping it cancels the wait.
+/// A reply that a task waits for. Dropping it cancels the wait.
 pub(crate) struct PendingReply<'a, A> {
     pending_replies: &'a PendingReplies<A>,
     id: u64,
--- a/crates/edge/src/relay/mod.rs
+++ b/crates/edge/src/relay/mod.rs
@@ -27,8 +27,9 @@
 /// by this long.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Timeout for a whole reply, even if it makes progress. Allows for the complete state, compressed,
-/// over a link of 10 Mbit/s that is shared with eight other transfers.
+/// Timeout for a whole reply, even if it makes progress; at the box that replies, for the request
+/// and the reply together. Allows for the complete state, compressed, over a link of 10 Mbit/s that
+/// is shared with eight other transfers.
 const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Size of each connection's read and write buffers.
@@ -160,7 +161,7 @@
 ) -> Result<WebSocketStream<TcpStream>, RelayError> {
     let stream = connect(context, peer).await.map_err(connection_error)?;
     let url = format!("ws://{peer}/");
-    let (mut socket, _) = client_async_with_config(url, stream, Some(config()))
+    let (mut socket, _) = client_async_with_config(url, stream, Some(websocket_config()))
         .await
         .map_err(connection_error)?;
     send(&mut socket, &transfer::encode(request)?).await?;
@@ -197,14 +198,14 @@
     stream: TcpStream,
 ) -> Result<(WebSocketStream<TcpStream>, ChangesRequest), RelayError> {
     stream.set_nodelay(true).map_err(connection_error)?;
-    let mut socket = accept_async_with_config(stream, Some(config()))
+    let mut socket = accept_async_with_config(stream, Some(websocket_config()))
         .await
         .map_err(connection_error)?;
     let (request, _) = receive(&mut socket).await?;
     Ok((socket, request))
 }
 
-fn config() -> WebSocketConfig {
+fn websocket_config() -> WebSocketConfig {
     WebSocketConfig::default()
         .read_buffer_size(BUFFER_BYTES)
         .write_buffer_size(BUFFER_BYTES)
--- a/crates/edge/src/relay/transfer.rs
+++ b/crates/edge/src/relay/transfer.rs
@@ -57,7 +57,7 @@
 /// The header that precedes a message's chunks.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 struct MessageHeader {
-    /// Total size of all chunks.
+    /// Total size of all chunks, in bytes.
     bytes: usize,
     /// Whether the body is compressed (deflate).
     is_compressed: bool,
--- a/crates/edge/src/settings.rs
+++ b/crates/edge/src/settings.rs
@@ -67,8 +67,9 @@
     }
 }
 
-/// Default timeout for the reply of an upstream's owner. The round trip within a region takes about
-/// 1 ms; the rest allows for a busy CPU. A request loses this time if the owner doesn't respond.
+/// Default timeout for the reply of an upstream's coordinator. The round trip within a region takes
+/// about 1 ms; the rest allows for a busy CPU. A request loses this time if the coordinator doesn't
+/// respond.
 pub const COORDINATOR_REPLY_TIMEOUT: Duration = Duration::from_millis(15);
 
 /// Settings of one box.
@@ -88,7 +89,7 @@
     pub memory_bytes: usize,
     /// Bandwidth of the box's link in Mbit/s; 0 if unknown.
     pub link_mbps: u32,
-    /// Timeout for the reply of an upstream's owner.
+    /// Timeout for the reply of an upstream's coordinator.
     pub coordinator_reply_timeout: Duration,
     /// Bounds of the fleet.
     pub bounds: FleetBounds,
--- a/crates/edge/src/status.rs
+++ b/crates/edge/src/status.rs
@@ -32,7 +32,7 @@
     /// This box's remaining retries of each service.
     #[serde(rename = "repeats_left")]
     pub retries_left: Vec<RetriesLeft>,
-    /// Whether the box knows which box owns which quota.
+    /// Whether the box knows which box coordinates which quota.
     #[serde(rename = "knows_quota_keepers")]
     pub knows_quota_coordinators: bool,
     /// Quotas of workspaces that sent requests to this box.
--- a/crates/edge/tests/bad_input.rs
+++ b/crates/edge/tests/bad_input.rs
@@ -92,7 +92,8 @@
     }
 }
 
-/// A gossip message decodes only if the ages of its views are integers from 0 to `u32::MAX`.
+/// A gossip message decodes only if the ages of its views are integers from 0 to `u32::MAX`; a
+/// message with any other age is rejected as a whole.
 #[test]
 fn a_view_with_an_invalid_age_is_rejected() {
     use ciborium::Value;
--- a/crates/edge/tests/crashing_requests.rs
+++ b/crates/edge/tests/crashing_requests.rs
@@ -42,7 +42,7 @@
 /// Maximum upstreams that may crash before the request is detected.
 const MAX_CRASHES_BEFORE_DETECTION: usize = 3;
 
-/// Maximum upstreams that it may still reach afterwards.
+/// Maximum upstreams that may still crash under it afterwards.
 const MAX_CRASHES_AFTER_DETECTION: usize = 3;
 
 /// A service whose upstreams are restarted after a crash.
@@ -158,11 +158,11 @@
     assert!(crashes >= 1, "the request reached no upstream");
     assert!(
         crashes <= MAX_CRASHES_BEFORE_DETECTION + MAX_CRASHES_AFTER_DETECTION,
-        "{crashes} upstreams ended under one request"
+        "{crashes} upstreams crashed under one request"
     );
 }
 
-/// Many clients send the crashing request at the same time.
+/// Guards against a crashing request that isn't blocked when many clients send it at the same time.
 #[tokio::test]
 async fn a_request_of_many_clients_crashes_one_upstream_after_another() {
     const CLIENTS: usize = 12;
@@ -182,7 +182,7 @@
     let crashes = service.crashes();
     assert!(
         (1..=MAX_CRASHES_BEFORE_DETECTION + MAX_CRASHES_AFTER_DETECTION).contains(&crashes),
-        "{crashes} upstreams ended under one request"
+        "{crashes} upstreams crashed under one request"
     );
 }
 
@@ -202,7 +202,7 @@
     let crashes = service.crashes();
     assert!(
         crashes <= MAX_CRASHES_BEFORE_DETECTION + MAX_CRASHES_AFTER_DETECTION,
-        "{crashes} ended"
+        "{crashes} upstreams crashed"
     );
     // The innocent request must be served in the end, even if upstreams crashed under it.
     let mut tries = 0;
@@ -285,8 +285,8 @@
     eventually("the box knows the others", knows).await;
     others.shutdown_background();
     drop(first);
-    let hears_none = || isolated.context().status().boxes_alive == 0;
-    eventually("the box hears no other", hears_none).await;
+    let none_alive = || isolated.context().status().boxes_alive == 0;
+    eventually("the box regards no other box as alive", none_alive).await;
     let kept = blocked_in_another_fleet().await;
     assert_eq!(kept.len(), 1);
     store.confirm(&kept[0], PATIENCE).await.unwrap();
--- a/crates/edge/tests/health.rs
+++ b/crates/edge/tests/health.rs
@@ -39,12 +39,13 @@
     let all_probed = || probe_counts(&fleet).iter().all(|probes| *probes > 0);
     eventually("each upstream was probed", all_probed).await;
     tokio::time::sleep(PROBE_INTERVAL).await;
-    // The box in charge has sent one or two more probes.
+    // The box that probes an upstream has sent it one or two more probes.
     let probes = probe_counts(&fleet);
     assert!(probes.iter().all(|probes| *probes <= BOXES), "{probes:?}");
 }
 
-/// One box probes the upstream; all boxes must learn the result.
+/// Guards against a cold upstream that only one box knows of: one box probes it and must notify all
+/// others.
 #[tokio::test]
 async fn only_the_probing_box_learns_that_an_upstream_is_cold() {
     let fleet = Fleet::start(BOXES).await;
--- a/crates/edge/tests/leaving_upstreams.rs
+++ b/crates/edge/tests/leaving_upstreams.rs
@@ -1,10 +1,11 @@
 //! Guards against requests that reach upstreams later than the drain limit after they have left:
 //! they did up to 3.4 s afterwards, with a limit of 3 s.
 //!
-//! A box requested changes from three dead boxes, 0.5 s each, and learned 1.15 s late that an
-//! upstream's entry was gone. Since many entries had expired at that time, it kept using the
-//! upstream for another 2.25 s. Nothing bounded the sum of both, because no box tracked the age of
-//! its view.
+//! A third of the boxes lost power each second, while whole zones of upstreams didn't respond and
+//! single others left. A box requested changes from three dead boxes, 0.5 s each, and learned
+//! 1.15 s late that an upstream's entry was gone. Since many entries had expired at that time, it
+//! went on using the upstream for another 2.25 s. Nothing bounded the sum of both, because no box
+//! tracked the age of its view.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
--- a/crates/edge/tests/slow_links.rs
+++ b/crates/edge/tests/slow_links.rs
@@ -41,8 +41,8 @@
     large
 }
 
-/// Starts a box with access to the store. Returns it with its address behind the slow link, at which
-/// gossip is answered as by any other member.
+/// Starts a box with access to the store. Returns it with its address behind the slow link, at
+/// which gossip is answered as by any other member.
 async fn start_behind_slow_link(store: &MemoryStore) -> (EdgeHandle, SocketAddr, FaultProxy) {
     let far = start(
         settings("far", Vec::new()),
@@ -189,7 +189,7 @@
     access.set_fault(StoreFault::None);
     has_added_route(&edge).await;
     let delivered = access.told_configs() - delivered;
-    assert!(delivered <= 5, "{delivered} of 29 versions were taken");
+    assert!(delivered <= 5, "{delivered} of 29 versions were delivered");
 }
 
 /// The versions written during an outage may be too large for one response, and retrying the watch
--- a/crates/edge/tests/suspended_boxes.rs
+++ b/crates/edge/tests/suspended_boxes.rs
@@ -1,8 +1,8 @@
 //! A box that was suspended must count the time of the suspension.
 //!
-//! The monotonic clock stops while a machine is suspended. A box that used it took a view of 30 s
-//! for a recent one, sent requests whose deadline had passed, and sent requests that must not run
-//! twice on connections that had been idle for too long.
+//! The monotonic clock stops while a machine is suspended. A box that used it treated a view that
+//! was 30 s old as recent, sent requests after their clients had stopped waiting, and sent requests
+//! that must not run twice on connections that had been idle for too long.
 #![allow(clippy::unwrap_used, clippy::expect_used)]
 
 mod common;
--- a/crates/edge/tests/upstream_signals.rs
+++ b/crates/edge/tests/upstream_signals.rs
@@ -131,7 +131,8 @@
 /// health responses report it then.
 #[tokio::test]
 async fn an_upstream_that_turns_cold_while_the_store_is_silent_is_pressed() {
-    /// 9 requests per second, half as many again, and five.
+    /// A cold upstream can handle 9 requests per second (`cold_per_s`); half as many again, and
+    /// five more, are accepted.
     const MAX_REQUESTS_PER_S: usize = 18;
     let fleet = Fleet::start(BOXES).await;
     let home = fleet.home().await;
