--- a/crates/edge/tests/answers.rs
+++ b/crates/edge/tests/answers.rs
@@ -7,7 +7,7 @@
 use brasswinch_edge::Dialect;
 use brasswinch_lab::routed_upstream::Behaviour;
 use brasswinch_types::UpstreamId;
-use common::{Kept, Site, call, request};
+use common::{KeptConnection, Site, call, request};
 use std::time::Duration;
 use tokio::io::AsyncWriteExt;
 
@@ -158,7 +158,7 @@
 async fn a_second_answer_never_reaches_the_next_request() {
     let site = Site::start(1).await;
     site.upstreams[0].always(Behaviour::AnswerTwice);
-    let mut kept = Kept::open(site.clients).await;
+    let mut kept = KeptConnection::open(site.clients).await;
     for _ in 0..20 {
         let request = request("GET", "/safe/1", "");
         let id = request.headers()[Dialect::default().request_id].clone();
--- a/crates/edge/tests/asking.rs
+++ b/crates/edge/tests/asking.rs
@@ -9,7 +9,7 @@
 use brasswinch_lab::routed_upstream::{Behaviour, Upstream};
 use brasswinch_routing::{Advice, Change};
 use brasswinch_types::{Region, UpstreamId, Zone};
-use common::know_all::know_nothing_on_a_fast_link;
+use common::know_all::run_fast_member_without_updates;
 use common::{call, config, eventually, record, request, settings};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 const SLOTS: usize = 4;
 
 /// A timeout that a reply always beats, even on a busy machine.
-const LONG: Duration = Duration::from_secs(20);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 struct Fleet {
     boxes: Vec<EdgeHandle>,
@@ -49,21 +49,21 @@
         boxes: handles,
         upstreams: started,
     };
-    fleet.knows(boxes).await;
+    fleet.wait_until_known(boxes).await;
     fleet
 }
 
 impl Fleet {
     /// Waits until each box serves and knows `count` boxes.
-    async fn knows(&self, count: usize) {
+    async fn wait_until_known(&self, count: usize) {
         for edge in &self.boxes {
             let context = Arc::clone(edge.context());
             eventually("the box is ready", || context.is_ready()).await;
-            let named = || {
+            let known_boxes = || {
                 let answer = context.directory_answer(&Zone::new("west-a"), &Region::new("west"));
                 answer.addresses.len()
             };
-            eventually("the box knows the others", || named() == count).await;
+            eventually("the box knows the other boxes", || known_boxes() == count).await;
         }
     }
 
@@ -77,47 +77,47 @@
 #[tokio::test]
 async fn boxes_fill_an_upstream_together_no_further_than_one_would() {
     const BOXES: usize = 8;
-    let fleet = fleet(BOXES, 3, LONG).await;
+    let fleet = fleet(BOXES, 3, LONG_TIMEOUT).await;
     // Coordinators are published shortly after the boxes discover each other.
     tokio::time::sleep(Duration::from_secs(2)).await;
     for upstream in &fleet.upstreams {
         upstream.always(Behaviour::AnswerAfter(Duration::from_secs(2)));
     }
-    let mut under_way = Vec::new();
+    let mut in_progress = Vec::new();
     for number in 0..3 * BOXES {
         let clients = fleet.clients(number);
-        under_way.push(tokio::spawn(call(clients, request("GET", "/safe/1", ""))));
+        in_progress.push(tokio::spawn(call(clients, request("GET", "/safe/1", ""))));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    for request in under_way {
+    for request in in_progress {
         request.await.unwrap().unwrap();
     }
     let seen: Vec<usize> = fleet
         .upstreams
         .iter()
-        .map(|held| held.seen().len())
+        .map(|upstream| upstream.seen().len())
         .collect();
-    let most = seen.iter().max().unwrap();
+    let max_seen = seen.iter().max().unwrap();
     // Up to 2.6 times its slots, and two more from boxes that learned of the others late.
     // Boxes that decide by their own state alone send all 24.
     assert!(
-        *most <= (2.6 * SLOTS as f64).ceil() as usize + 2,
+        *max_seen <= (2.6 * SLOTS as f64).ceil() as usize + 2,
         "requests at each upstream: {seen:?}"
     );
-    assert!(*most >= SLOTS, "requests at each upstream: {seen:?}");
+    assert!(*max_seen >= SLOTS, "requests at each upstream: {seen:?}");
 }
 
 #[tokio::test]
 async fn a_box_whose_keepers_never_answer_serves_as_well() {
     /// Enough boxes for advice to be requested.
-    const SILENT: usize = 9;
+    const UNRESPONSIVE: usize = 9;
     let fleet = fleet(1, 3, COORDINATOR_REPLY_TIMEOUT).await;
     let peers = fleet.boxes[0].addresses().peers;
-    for _ in 0..SILENT {
+    for _ in 0..UNRESPONSIVE {
         let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-        tokio::spawn(know_nothing_on_a_fast_link(socket, peers));
+        tokio::spawn(run_fast_member_without_updates(socket, peers));
     }
-    fleet.knows(SILENT + 1).await;
+    fleet.wait_until_known(UNRESPONSIVE + 1).await;
     for _ in 0..20 {
         let answer = call(fleet.clients(0), request("GET", "/safe/1", "")).await;
         assert_eq!(answer.unwrap().status, 200);
@@ -142,8 +142,8 @@
             let peers = edge.addresses().peers;
             socket.send_to(&datagram, peers).await.unwrap();
             // A truncated datagram can't be parsed.
-            let cut = &datagram[..datagram.len() / 2];
-            socket.send_to(cut, peers).await.unwrap();
+            let truncated = &datagram[..datagram.len() / 2];
+            socket.send_to(truncated, peers).await.unwrap();
         }
     }
     for number in 0..8 {
--- a/crates/edge/tests/boxes.rs
+++ b/crates/edge/tests/boxes.rs
@@ -8,8 +8,8 @@
 use brasswinch_lab::routed_upstream::{Behaviour, Upstream};
 use brasswinch_routing::{Change, ChangeKey, RouteKind, UpstreamState};
 use brasswinch_types::{Region, UpstreamId, Zone};
-use common::know_all::know_all;
-use common::{Kept, Site, call, config, eventually, record, request, route, settings};
+use common::know_all::run_member_with_newest;
+use common::{KeptConnection, Site, call, config, eventually, record, request, route, settings};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -38,8 +38,8 @@
         let context = Arc::clone(edge.context());
         eventually("the box is ready", || context.is_ready()).await;
         let clients = edge.addresses().clients;
-        let names_all = || directory(&context).len() == count;
-        eventually(&format!("{clients} knows all"), names_all).await;
+        let knows_all = || directory(&context).len() == count;
+        eventually(&format!("{clients} knows all boxes"), knows_all).await;
     }
     boxes
 }
@@ -75,13 +75,13 @@
         .push(route("/new/", RouteKind::Repeatable, "desk"));
     newer.routes.retain(|route| route.path_prefix != "/safe/");
     site.store.write(Change::Config(Arc::new(newer)));
-    let mut tries = 0;
+    let mut attempts = 0;
     while site.get("/new/1").await.status != 200 {
-        tries += 1;
-        assert!(tries < 1_000);
+        attempts += 1;
+        assert!(attempts < 1_000);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    assert_eq!(site.get("/safe/1").await.status, 404, "the dropped route");
+    assert_eq!(site.get("/safe/1").await.status, 404, "the removed route");
     // An older version, written later, changes nothing.
     site.store.write(Change::Config(Arc::new(config(1))));
     site.store.forget_history();
@@ -96,15 +96,15 @@
     let leaving = site
         .upstreams
         .iter()
-        .find(|t| home == t.id.as_bytes())
+        .find(|upstream| home == upstream.id.as_bytes())
         .unwrap();
     let mut entry = record(leaving);
     entry.state = UpstreamState::Draining;
     site.store.write(Change::Upstream(entry));
-    let mut tries = 0;
+    let mut attempts = 0;
     while site.get("/safe/1").await.body == home {
-        tries += 1;
-        assert!(tries < 1_000);
+        attempts += 1;
+        assert!(attempts < 1_000);
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let seen = leaving.seen().len();
@@ -136,11 +136,11 @@
             .routes
             .push(route(&prefix, RouteKind::Repeatable, "desk"));
         store.write(Change::Config(Arc::new(newer)));
-        let mut tries = 0;
+        let mut attempts = 0;
         let clients = boxes[2].0.addresses().clients;
         while status(clients, &format!("{prefix}1")).await != 200 {
-            tries += 1;
-            assert!(tries < 1_000, "{fault:?}");
+            attempts += 1;
+            assert!(attempts < 1_000, "{fault:?}");
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
         for (edge, _) in boxes {
@@ -155,25 +155,25 @@
 async fn a_box_that_the_store_failed_asks_without_waiting_until_it_answers() {
     let site = Site::start(1).await;
     let store = &site.store;
-    eventually("a watch waits", || !store.waits().is_empty()).await;
+    eventually("a watch is pending", || !store.waits().is_empty()).await;
     store.set_fault(StoreFault::TurnedAway);
     // Completes the watches in progress.
     store.write(Change::Config(Arc::new(config(2))));
     store.write(Change::Gone(ChangeKey::Upstream(UpstreamId::new("none"))));
     let before = store.waits().len();
     let more = before + 8;
-    eventually("the box tries again", || store.waits().len() >= more).await;
-    let trials = store.waits().split_off(before);
+    eventually("the box retries", || store.waits().len() >= more).await;
+    let new_waits = store.waits().split_off(before);
     // The first failing calls, one per scope. Among the rest are calls without a wait, which
     // refresh the view.
-    let waiting = trials.iter().filter(|wait| !wait.is_zero()).count();
-    assert!(waiting <= 2, "{trials:?}");
+    let waiting = new_waits.iter().filter(|wait| !wait.is_zero()).count();
+    assert!(waiting <= 2, "{new_waits:?}");
     assert!(
-        trials.iter().rev().take(4).all(Duration::is_zero),
-        "{trials:?}"
+        new_waits.iter().rev().take(4).all(Duration::is_zero),
+        "{new_waits:?}"
     );
     store.set_fault(StoreFault::None);
-    eventually("watches wait again", || {
+    eventually("watches are sent with a wait again", || {
         store.waits().last().is_some_and(|wait| !wait.is_zero())
     })
     .await;
@@ -188,10 +188,10 @@
     store.write(Change::Config(Arc::new(config(1))));
     store.write(Change::Upstream(record(&upstream)));
     let boxes = boxes(2, &store).await;
-    let turned_away = store.handle();
-    turned_away.set_fault(StoreFault::TurnedAway);
+    let rejecting_store = store.handle();
+    rejecting_store.set_fault(StoreFault::TurnedAway);
     let seeds = vec![boxes[0].0.addresses().peers];
-    let late = edge("box-late", seeds, &turned_away).await;
+    let late = edge("box-late", seeds, &rejecting_store).await;
     let context = Arc::clone(late.context());
     eventually("the late box is ready", || context.is_ready()).await;
     assert_eq!(status(late.addresses().clients, "/safe/1").await, 200);
@@ -225,7 +225,7 @@
     let stopping = tokio::spawn(leaving.stop());
     for (edge, _) in &boxes {
         let context = Arc::clone(edge.context());
-        eventually("the leaving box is left out", || {
+        eventually("look-ups omit the leaving box", || {
             !directory(&context).contains(&gone)
         })
         .await;
@@ -241,7 +241,7 @@
     let handle = site.handle.take().unwrap();
     let context = Arc::clone(handle.context());
     let clients = site.clients;
-    let mut kept = Kept::open(clients).await;
+    let mut kept = KeptConnection::open(clients).await;
     assert_eq!(
         kept.call(request("GET", "/safe/1", ""))
             .await
@@ -249,10 +249,10 @@
             .status,
         200
     );
-    let under_way = tokio::spawn(call(clients, request("POST", "/once/1", "x")));
+    let in_progress = tokio::spawn(call(clients, request("POST", "/once/1", "x")));
     tokio::time::sleep(Duration::from_millis(100)).await;
     let stopping = tokio::spawn(handle.stop());
-    eventually("it isn't ready", || !context.is_ready()).await;
+    eventually("the box isn't ready", || !context.is_ready()).await;
     // A request on a kept connection, one on a new connection, and one in progress.
     let on_kept = kept.call(request("POST", "/once/1", "y")).await.unwrap();
     assert_eq!(on_kept.status, 200);
@@ -261,9 +261,12 @@
         .await
         .unwrap();
     assert_eq!(on_new.status, 200);
-    assert_eq!(under_way.await.unwrap().unwrap().status, 200);
+    assert_eq!(in_progress.await.unwrap().unwrap().status, 200);
     stopping.await.unwrap();
-    assert!(TcpStream::connect(clients).await.is_err(), "closed");
+    assert!(
+        TcpStream::connect(clients).await.is_err(),
+        "the port is still open"
+    );
 }
 
 /// Sends a small request on an open connection; returns whether an answer comes.
@@ -279,15 +282,15 @@
 /// Connects until the box has closed its port; each connection sends its request after a delay.
 async fn call_until_refused(clients: SocketAddr) -> Vec<JoinHandle<bool>> {
     // Delay from connection to request.
-    const THINK: Duration = Duration::from_millis(60);
-    const EVERY: Duration = Duration::from_millis(3);
+    const REQUEST_DELAY: Duration = Duration::from_millis(60);
+    const CONNECT_INTERVAL: Duration = Duration::from_millis(3);
     let mut calls = Vec::new();
     while let Ok(stream) = TcpStream::connect(clients).await {
         calls.push(tokio::spawn(async move {
-            tokio::time::sleep(THINK).await;
+            tokio::time::sleep(REQUEST_DELAY).await;
             is_answered(stream).await
         }));
-        tokio::time::sleep(EVERY).await;
+        tokio::time::sleep(CONNECT_INTERVAL).await;
     }
     calls
 }
@@ -302,26 +305,29 @@
         .map(|_| tokio::spawn(call_until_refused(site.clients)))
         .collect();
     let mut all = 0;
-    let mut cut = 0;
+    let mut unanswered = 0;
     for caller in callers {
         for call in caller.await.unwrap() {
             all += 1;
-            cut += usize::from(!call.await.unwrap());
+            unanswered += usize::from(!call.await.unwrap());
         }
     }
-    assert_eq!(cut, 0, "connections that were cut, of {all}");
+    assert_eq!(
+        unanswered, 0,
+        "connections closed without an answer, of {all}"
+    );
     stopping.await.unwrap();
 }
 
 /// Starts a member that claims the newest revisions and never answers a request; returns the
 /// count of connections to it.
-async fn silent_know_all(of: SocketAddr) -> Arc<AtomicUsize> {
+async fn start_unresponsive_member(seed: SocketAddr) -> Arc<AtomicUsize> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
     let socket = tokio::net::UdpSocket::bind(listener.local_addr().unwrap())
         .await
         .unwrap();
-    let asked = Arc::new(AtomicUsize::new(0));
-    let counting = Arc::clone(&asked);
+    let connections = Arc::new(AtomicUsize::new(0));
+    let counting = Arc::clone(&connections);
     tokio::spawn(async move {
         let mut kept = Vec::new();
         while let Ok((stream, _)) = listener.accept().await {
@@ -329,8 +335,8 @@
             kept.push(stream);
         }
     });
-    tokio::spawn(know_all(socket, of));
-    asked
+    tokio::spawn(run_member_with_newest(socket, seed));
+    connections
 }
 
 #[tokio::test]
@@ -342,12 +348,12 @@
     store.write(Change::Config(Arc::new(config(1))));
     store.write(Change::Upstream(record(&upstream)));
     let boxes = boxes(2, &store).await;
-    let asked = silent_know_all(boxes[0].0.addresses().peers).await;
-    let (turned_away, fault) = &boxes[1];
-    fault.set_fault(StoreFault::TurnedAway);
-    let asks = Arc::clone(&asked);
-    eventually("the silent one is asked", || {
-        asks.load(Ordering::Relaxed) > 0
+    let connections = start_unresponsive_member(boxes[0].0.addresses().peers).await;
+    let (rejected_box, access) = &boxes[1];
+    access.set_fault(StoreFault::TurnedAway);
+    let connection_count = Arc::clone(&connections);
+    eventually("the unresponsive member gets a request", || {
+        connection_count.load(Ordering::Relaxed) > 0
     })
     .await;
     // A watch in progress when the fault began still returns one change.
@@ -357,15 +363,12 @@
     newer
         .routes
         .push(route("/new/", RouteKind::Repeatable, "desk"));
-    let before = asked.load(Ordering::Relaxed);
+    let before = connections.load(Ordering::Relaxed);
     store.write(Change::Config(Arc::new(newer)));
-    let clients = turned_away.addresses().clients;
+    let clients = rejected_box.addresses().clients;
     while status(clients, "/new/1").await != 200 {
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
-    let wasted = asked.load(Ordering::Relaxed) - before;
-    assert!(
-        wasted <= 3,
-        "{wasted} questions to the one that never answers"
-    );
+    let wasted = connections.load(Ordering::Relaxed) - before;
+    assert!(wasted <= 3, "{wasted} requests to the unresponsive member");
 }
--- a/crates/edge/tests/common/fleet.rs
+++ b/crates/edge/tests/common/fleet.rs
@@ -1,6 +1,6 @@
 //! Several boxes that know each other, and clients that send to all of them.
 
-use super::{Answer, Kept, call, config, eventually, record, request, settings};
+use super::{Answer, KeptConnection, call, config, eventually, record, request, settings};
 use brasswinch_edge::{Dialect, EdgeHandle, start};
 use brasswinch_lab::memory_store::{MemoryStore, StoreFault};
 use brasswinch_lab::routed_upstream::{Behaviour, Upstream};
@@ -16,7 +16,7 @@
 const UPSTREAMS: usize = 4;
 
 /// Processing time of an upstream; with 4 slots it handles 200 requests per second.
-const WORK: Duration = Duration::from_millis(20);
+const PROCESSING_TIME: Duration = Duration::from_millis(20);
 
 /// Pause between two requests of a client; at most some 20 requests per second to each box.
 pub const PAUSE: Duration = Duration::from_millis(30);
@@ -40,7 +40,7 @@
         for number in 0..UPSTREAMS {
             let id = format!("upstream-{number}");
             let upstream = Upstream::start(&id, &dialect).await.unwrap();
-            upstream.always(Behaviour::AnswerAfter(WORK));
+            upstream.always(Behaviour::AnswerAfter(PROCESSING_TIME));
             store.write(Change::Upstream(record(&upstream)));
             upstreams.push(upstream);
         }
@@ -53,7 +53,7 @@
         for number in 0..count {
             fleet.add_box(&format!("box-{number}")).await;
         }
-        fleet.meet(count).await;
+        fleet.wait_for_discovery(count).await;
         fleet
     }
 
@@ -67,27 +67,27 @@
     }
 
     /// Waits until all boxes serve and know `count` boxes.
-    async fn meet(&self, count: usize) {
+    async fn wait_for_discovery(&self, count: usize) {
         for handle in &self.boxes {
             let context = Arc::clone(handle.context());
             let (zone, region) = (Zone::new("west-a"), Region::new("west"));
-            let names_all = || {
+            let knows_all = || {
                 let answer = context.directory_answer(&zone, &region);
                 context.is_ready() && answer.addresses.len() == count
             };
-            eventually("the box knows all", names_all).await;
+            eventually("the box knows all boxes", knows_all).await;
         }
     }
 
     /// Makes the store unresponsive for all boxes.
-    pub fn silence_store(&self) {
+    pub fn make_store_unresponsive(&self) {
         for store in &self.stores {
             store.set_fault(StoreFault::Silent);
         }
     }
 
     pub fn clients(&self) -> Vec<SocketAddr> {
-        let addresses = self.boxes.iter().map(|held| held.addresses().clients);
+        let addresses = self.boxes.iter().map(|handle| handle.addresses().clients);
         addresses.collect()
     }
 
@@ -101,29 +101,29 @@
             served_by = String::from_utf8(answer.body.to_vec()).unwrap();
         }
         let mut upstreams = self.upstreams.iter();
-        let home = upstreams.find(|held| held.id == served_by);
+        let home = upstreams.find(|upstream| upstream.id == served_by);
         home.unwrap().clone()
     }
 
     /// Sends requests to all boxes for `time`; returns the answers.
-    pub async fn press(&self, time: Duration) -> Vec<Answer> {
+    pub async fn send_requests(&self, time: Duration) -> Vec<Answer> {
         let mut clients = JoinSet::new();
         for to in self.clients() {
-            clients.spawn(press(to, time));
+            clients.spawn(run_client(to, time));
         }
         clients.join_all().await.into_iter().flatten().collect()
     }
 }
 
 /// Runs one client of one box; it reconnects when its connection ends.
-async fn press(to: SocketAddr, time: Duration) -> Vec<Answer> {
+async fn run_client(to: SocketAddr, time: Duration) -> Vec<Answer> {
     let until = Instant::now() + time;
     let mut answers = Vec::new();
-    let mut connection = Kept::open(to).await;
+    let mut connection = KeptConnection::open(to).await;
     while Instant::now() < until {
         match connection.call(request("GET", "/safe/pressed", "")).await {
             Ok(answer) => answers.push(answer),
-            Err(_) => connection = Kept::open(to).await,
+            Err(_) => connection = KeptConnection::open(to).await,
         }
         tokio::time::sleep(PAUSE).await;
     }
--- a/crates/edge/tests/common/know_all.rs
+++ b/crates/edge/tests/common/know_all.rs
@@ -1,4 +1,4 @@
-//! A simulated member that claims the newest revisions.
+//! Simulated members that claim the newest revisions, or none.
 
 use brasswinch_edge::Datagram;
 use brasswinch_routing::{MemberRecord, MemberState, Revision, Swim, SwimSettings};
@@ -10,33 +10,33 @@
 /// Maximum wait for a datagram between two checks of the protocol's timers.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Runs the membership protocol on `socket` for as long as the runtime lives, with `of` as its
-/// seed. Requests for its updates go to the TCP port of the same number.
-pub async fn know_all(socket: UdpSocket, of: SocketAddr) {
+/// Runs a member that claims the newest revisions on `socket` for as long as the runtime lives,
+/// with `seed` as its seed. Requests for its updates go to the TCP port of the same number.
+pub async fn run_member_with_newest(socket: UdpSocket, seed: SocketAddr) {
     let record = record(&socket);
-    take_part(record, socket, of).await;
+    run_membership(record, socket, seed).await;
 }
 
 /// Runs the same with a fast link, so that the member is selected to follow the store.
-pub async fn know_all_on_a_fast_link(socket: UdpSocket, of: SocketAddr) {
+pub async fn run_fast_member_with_newest(socket: UdpSocket, seed: SocketAddr) {
     let mut record = record(&socket);
     record.id = BoxId::new(format!("know-all-{}", record.peer_address.port()));
     record.link_mbps = 1_000;
-    take_part(record, socket, of).await;
+    run_membership(record, socket, seed).await;
 }
 
 /// Runs a member with a fast link that is selected to follow the store and never has updates.
-pub async fn know_nothing_on_a_fast_link(socket: UdpSocket, of: SocketAddr) {
+pub async fn run_fast_member_without_updates(socket: UdpSocket, seed: SocketAddr) {
     let mut record = record(&socket);
     record.id = BoxId::new(format!("know-nothing-{}", record.peer_address.port()));
     record.link_mbps = 1_000;
     record.operator_revision = Revision(0);
     record.upstream_revision = Revision(0);
-    take_part(record, socket, of).await;
+    run_membership(record, socket, seed).await;
 }
 
-async fn take_part(record: MemberRecord, socket: UdpSocket, of: SocketAddr) {
-    let mut swim = Swim::new(record, vec![of], SwimSettings::default());
+async fn run_membership(record: MemberRecord, socket: UdpSocket, seed: SocketAddr) {
+    let mut swim = Swim::new(record, vec![seed], SwimSettings::default());
     let mut buffer = vec![0; 16_384];
     let began = Instant::now();
     loop {
--- a/crates/edge/tests/common/mod.rs
+++ b/crates/edge/tests/common/mod.rs
@@ -27,7 +27,7 @@
 use tokio::net::TcpStream;
 
 /// Maximum wait for any condition of a test.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+pub const MAX_CONDITION_WAIT: Duration = Duration::from_secs(30);
 
 pub const HOST: &str = "quotes.example";
 
@@ -37,7 +37,10 @@
 pub async fn eventually(what: &str, mut condition: impl FnMut() -> bool) {
     let began = Instant::now();
     while !condition() {
-        assert!(began.elapsed() < PATIENCE, "never came true: {what}");
+        assert!(
+            began.elapsed() < MAX_CONDITION_WAIT,
+            "timed out waiting until {what}"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -206,12 +209,12 @@
         .unwrap()
 }
 
-/// A kept connection to a box.
-pub struct Kept {
+/// A persistent connection to a box.
+pub struct KeptConnection {
     sender: hyper::client::conn::http1::SendRequest<Full<Bytes>>,
 }
 
-impl Kept {
+impl KeptConnection {
     pub async fn open(to: SocketAddr) -> Self {
         let stream = TcpStream::connect(to).await.unwrap();
         let (sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -237,5 +240,5 @@
 
 /// Sends one request on its own connection.
 pub async fn call(to: SocketAddr, request: Request<Full<Bytes>>) -> Result<Answer, hyper::Error> {
-    Kept::open(to).await.call(request).await
+    KeptConnection::open(to).await.call(request).await
 }
--- a/crates/edge/tests/crashing_requests.rs
+++ b/crates/edge/tests/crashing_requests.rs
@@ -13,7 +13,7 @@
 use brasswinch_lab::routed_upstream::{Behaviour, Upstream};
 use brasswinch_routing::{Change, ChangeKey, CrashReport};
 use brasswinch_types::{Region, UpstreamId, Zone};
-use common::{PATIENCE, call, config, eventually, record, request, settings};
+use common::{MAX_CONDITION_WAIT, call, config, eventually, record, request, settings};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -289,7 +289,7 @@
     eventually("the box regards no other box as alive", none_alive).await;
     let kept = blocked_in_another_fleet().await;
     assert_eq!(kept.len(), 1);
-    store.confirm(&kept[0], PATIENCE).await.unwrap();
+    store.confirm(&kept[0], MAX_CONDITION_WAIT).await.unwrap();
     let is_blocked = || !isolated.context().status().quarantine.is_empty();
     eventually("the box knows which request is blocked", is_blocked).await;
     let clients = [isolated.addresses().clients];
--- a/crates/edge/tests/fleet_size.rs
+++ b/crates/edge/tests/fleet_size.rs
@@ -18,7 +18,7 @@
     store
 }
 
-async fn serving(id: &str, seeds: Vec<SocketAddr>, access: MemoryStore) -> EdgeHandle {
+async fn start_serving(id: &str, seeds: Vec<SocketAddr>, access: MemoryStore) -> EdgeHandle {
     let edge = start(settings(id, seeds), Dialect::default(), access);
     let edge = edge.await.unwrap();
     let context = Arc::clone(edge.context());
@@ -26,62 +26,62 @@
     edge
 }
 
-fn size_known_to(edge: &EdgeHandle) -> usize {
+fn assumed_fleet_size(edge: &EdgeHandle) -> usize {
     edge.context().status().fleet_size
 }
 
 /// Starts boxes that know each other, and waits until the store holds their number.
-async fn recorded_fleet(store: &MemoryStore) -> Vec<EdgeHandle> {
+async fn start_recorded_fleet(store: &MemoryStore) -> Vec<EdgeHandle> {
     let mut boxes: Vec<EdgeHandle> = Vec::new();
     for number in 0..BOXES {
         let seeds = boxes.first().map(|first| first.addresses().peers);
         let id = format!("box-{number}");
-        boxes.push(serving(&id, seeds.into_iter().collect(), store.handle()).await);
+        boxes.push(start_serving(&id, seeds.into_iter().collect(), store.handle()).await);
     }
-    let is_kept = || store.kept_fleet_size() == Some(BOXES as u32);
-    eventually("the store holds the size", is_kept).await;
+    let is_stored = || store.kept_fleet_size() == Some(BOXES as u32);
+    eventually("the store holds the size", is_stored).await;
     boxes
 }
 
 /// Guards against a box that starts during a network partition and assumes that it is the whole
-/// fleet, as it hears from no other.
+/// fleet, as no other box reaches it.
 #[tokio::test]
 async fn a_box_that_starts_in_a_cut_takes_itself_for_the_whole_fleet() {
     let store = store();
-    drop(recorded_fleet(&store).await);
-    let cut_off = serving("box-0", Vec::new(), store.handle()).await;
-    assert_eq!(size_known_to(&cut_off), BOXES);
+    drop(start_recorded_fleet(&store).await);
+    let cut_off = start_serving("box-0", Vec::new(), store.handle()).await;
+    assert_eq!(assumed_fleet_size(&cut_off), BOXES);
 }
 
 /// Guards against a box that starts during a network partition and spends the whole fleet's
-/// retry budget, as it hears from no other.
+/// retry budget, as no other box reaches it.
 #[tokio::test]
 async fn a_box_that_starts_in_a_cut_spends_the_repeats_of_all() {
     const FLEET: u32 = 100;
     let store = store();
     store.keep_fleet_size(FLEET);
-    let cut_off = serving("box-0", Vec::new(), store.handle()).await;
+    let cut_off = start_serving("box-0", Vec::new(), store.handle()).await;
     // The service has no upstream, but the request still counts.
     let address = cut_off.addresses().clients;
     call(address, request("GET", "/safe/1", "")).await.unwrap();
     let settings = settings("box-0", Vec::new());
-    let own_part = settings.bounds.retry_extra / f64::from(FLEET) + settings.bounds.retry_ratio;
+    let own_share = settings.bounds.retry_extra / f64::from(FLEET) + settings.bounds.retry_ratio;
     let status = cut_off.context().status();
     let left: f64 = status.retries_left.iter().map(|budget| budget.left).sum();
     assert_eq!(status.retries_left.len(), 1);
-    assert!(left <= own_part, "{left} of {own_part}");
+    assert!(left <= own_share, "{left} of {own_share}");
 }
 
-/// Guards against a box whose store calls are rejected and that counts only the boxes it hears
-/// from.
+/// Guards against a box that can't read the fleet size from the store, ignores the size that
+/// its peers report and counts only the boxes it has discovered: here 2 instead of 30.
 #[tokio::test]
 async fn a_box_that_can_t_ask_the_store_isn_t_told_by_others() {
     let store = store();
-    let kept = u32::try_from(BOXES * 10).unwrap();
-    store.keep_fleet_size(kept);
-    let first = serving("box-0", Vec::new(), store.handle()).await;
-    let turned_away = store.handle();
-    turned_away.set_fault(StoreFault::TurnedAway);
-    let second = serving("box-1", vec![first.addresses().peers], turned_away).await;
-    assert_eq!(size_known_to(&second), BOXES * 10);
+    let stored = u32::try_from(BOXES * 10).unwrap();
+    store.keep_fleet_size(stored);
+    let first = start_serving("box-0", Vec::new(), store.handle()).await;
+    let rejecting_store = store.handle();
+    rejecting_store.set_fault(StoreFault::TurnedAway);
+    let second = start_serving("box-1", vec![first.addresses().peers], rejecting_store).await;
+    assert_eq!(assumed_fleet_size(&second), BOXES * 10);
 }
--- a/crates/edge/tests/health.rs
+++ b/crates/edge/tests/health.rs
@@ -35,7 +35,7 @@
 #[tokio::test]
 async fn an_upstream_is_probed_by_every_box() {
     let fleet = Fleet::start(BOXES).await;
-    fleet.silence_store();
+    fleet.make_store_unresponsive();
     let all_probed = || probe_counts(&fleet).iter().all(|probes| *probes > 0);
     eventually("each upstream was probed", all_probed).await;
     tokio::time::sleep(PROBE_INTERVAL).await;
@@ -49,7 +49,7 @@
 #[tokio::test]
 async fn only_the_probing_box_learns_that_an_upstream_is_cold() {
     let fleet = Fleet::start(BOXES).await;
-    fleet.silence_store();
+    fleet.make_store_unresponsive();
     fleet.upstreams[0].turn_cold(30);
     eventually("all boxes know that the upstream is cold", || {
         all_boxes_count_cold(&fleet, 1)
@@ -61,7 +61,7 @@
 #[tokio::test]
 async fn a_health_response_of_another_upstream_is_accepted() {
     let fleet = Fleet::start(1).await;
-    fleet.silence_store();
+    fleet.make_store_unresponsive();
     fleet.upstreams[0].turn_cold(30);
     fleet.upstreams[0].answer_health_as("another");
     eventually("it was probed", || probe_counts(&fleet)[0] > 1).await;
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn an_invalid_cold_time_is_accepted() {
     let fleet = Fleet::start(1).await;
-    fleet.silence_store();
+    fleet.make_store_unresponsive();
     let endless = "9".repeat(400);
     let cold_times = ["-1", "NaN", "inf", &endless];
     for (upstream, cold_time) in fleet.upstreams.iter().zip(cold_times) {
--- a/crates/edge/tests/leaving_upstreams.rs
+++ b/crates/edge/tests/leaving_upstreams.rs
@@ -15,7 +15,7 @@
 use brasswinch_lab::routed_upstream::Upstream;
 use brasswinch_routing::{Change, ChangeKey, UpstreamRecord, UpstreamState};
 use brasswinch_types::UpstreamId;
-use common::know_all::know_nothing_on_a_fast_link;
+use common::know_all::run_fast_member_without_updates;
 use common::{call, config, eventually, record, request, settings};
 use http::HeaderValue;
 use std::sync::Arc;
@@ -152,7 +152,7 @@
             .unwrap();
         tokio::spawn(async move {
             let _listens = listener;
-            know_nothing_on_a_fast_link(socket, peers).await;
+            run_fast_member_without_updates(socket, peers).await;
         });
     }
     let context = Arc::clone(fleet.edge.context());
--- a/crates/edge/tests/left_behind.rs
+++ b/crates/edge/tests/left_behind.rs
@@ -8,8 +8,10 @@
 use brasswinch_lab::memory_store::{MemoryStore, StoreFault};
 use brasswinch_routing::{Change, ChangeKey, RouteKind};
 use brasswinch_types::UpstreamId;
-use common::know_all::{know_all, know_all_on_a_fast_link, know_nothing_on_a_fast_link};
-use common::{PATIENCE, call, config, eventually, request, route, settings};
+use common::know_all::{
+    run_fast_member_with_newest, run_fast_member_without_updates, run_member_with_newest,
+};
+use common::{MAX_CONDITION_WAIT, call, config, eventually, request, route, settings};
 use futures_util::SinkExt;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,38 +22,38 @@
 use tokio_tungstenite::tungstenite::Message;
 
 /// Accepts a connection and never replies.
-async fn fall_silent(stream: TcpStream) {
+async fn never_reply(stream: TcpStream) {
     let _open = stream;
     std::future::pending().await
 }
 
 /// The header of a reply, as sent over the wire.
 #[derive(serde::Serialize)]
-struct Head {
+struct ReplyHeader {
     bytes: usize,
     is_compressed: bool,
 }
 
 /// The most pieces that one request received from the slow peer.
-static MOST_PIECES: AtomicUsize = AtomicUsize::new(0);
+static MAX_PIECES_RECEIVED: AtomicUsize = AtomicUsize::new(0);
 
 /// Sends a large reply one byte at a time, without end.
-async fn trickle(stream: TcpStream) {
-    const BETWEEN: Duration = Duration::from_millis(100);
+async fn reply_slowly(stream: TcpStream) {
+    const PIECE_INTERVAL: Duration = Duration::from_millis(100);
     let Ok(mut socket) = accept_async(stream).await else {
         return;
     };
-    let head = Head {
+    let header = ReplyHeader {
         bytes: 1_000_000,
         is_compressed: false,
     };
     let mut piece = Vec::new();
-    ciborium::into_writer(&head, &mut piece).unwrap();
+    ciborium::into_writer(&header, &mut piece).unwrap();
     let mut pieces = 0;
     while socket.send(Message::Binary(piece.into())).await.is_ok() {
         pieces += 1;
-        MOST_PIECES.fetch_max(pieces, Ordering::Relaxed);
-        tokio::time::sleep(BETWEEN).await;
+        MAX_PIECES_RECEIVED.fetch_max(pieces, Ordering::Relaxed);
+        tokio::time::sleep(PIECE_INTERVAL).await;
         piece = vec![0];
     }
 }
@@ -102,7 +104,10 @@
         .status
         != 503
     {
-        assert!(began.elapsed() < PATIENCE, "version {version} never came");
+        assert!(
+            began.elapsed() < MAX_CONDITION_WAIT,
+            "version {version} never became active"
+        );
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
 }
@@ -110,17 +115,20 @@
 #[tokio::test]
 async fn a_box_whose_watchers_tell_nothing_asks_the_store() {
     /// Enough members with fast links to be selected as the followers of the store.
-    const WATCHERS: usize = 5;
+    const FOLLOWERS: usize = 5;
     let store = MemoryStore::default();
     store.write(Change::Config(Arc::new(config(1))));
     let access = store.handle();
     let edge = edge("near", Vec::new(), access.clone()).await;
-    for _ in 0..WATCHERS {
-        let socket = listen(fall_silent).await;
-        tokio::spawn(know_all_on_a_fast_link(socket, edge.addresses().peers));
+    for _ in 0..FOLLOWERS {
+        let socket = listen(never_reply).await;
+        tokio::spawn(run_fast_member_with_newest(socket, edge.addresses().peers));
     }
     let context = Arc::clone(edge.context());
-    eventually("all are known", || members(&context) == WATCHERS + 1).await;
+    eventually("all members are known", || {
+        members(&context) == FOLLOWERS + 1
+    })
+    .await;
     // Completes the watch that began before the box knew of the other followers.
     store.write(with_route(2));
     has_route(&edge, 2).await;
@@ -134,26 +142,32 @@
 /// be served by a configuration that is out of date by at most 2 s.
 #[tokio::test]
 async fn a_box_without_callers_knows_what_is_in_force_when_one_comes() {
-    const WATCHERS: usize = 3;
+    const FOLLOWERS: usize = 3;
     /// Longer than a box counts as having callers after the last one.
     const NO_CALLERS: Duration = Duration::from_millis(3_200);
-    const IN_FORCE: Duration = Duration::from_secs(2);
+    const MAX_STALENESS: Duration = Duration::from_secs(2);
     let store = MemoryStore::default();
     store.write(Change::Config(Arc::new(config(1))));
     let edge = edge("near", Vec::new(), store.handle()).await;
-    for _ in 0..WATCHERS {
-        let socket = listen(fall_silent).await;
-        tokio::spawn(know_nothing_on_a_fast_link(socket, edge.addresses().peers));
+    for _ in 0..FOLLOWERS {
+        let socket = listen(never_reply).await;
+        tokio::spawn(run_fast_member_without_updates(
+            socket,
+            edge.addresses().peers,
+        ));
     }
     let context = Arc::clone(edge.context());
-    eventually("all are known", || members(&context) == WATCHERS + 1).await;
+    eventually("all members are known", || {
+        members(&context) == FOLLOWERS + 1
+    })
+    .await;
     // Completes the watch that began before the box knew of the other followers.
     store.write(with_route(2));
     has_route(&edge, 2).await;
     for version in 3..6 {
         tokio::time::sleep(NO_CALLERS).await;
         store.write(with_route(version));
-        tokio::time::sleep(IN_FORCE).await;
+        tokio::time::sleep(MAX_STALENESS).await;
         let first = request("GET", &format!("/new{version}/1"), "");
         let answer = call(edge.addresses().clients, first).await.unwrap();
         assert_eq!(answer.status, 503, "version {version}");
@@ -171,8 +185,8 @@
 #[tokio::test]
 async fn a_box_that_is_told_again_and_again_does_not_ask_the_store() {
     /// Three times as long as a box relies on its peers.
-    const FOR: Duration = Duration::from_secs(4);
-    const EVERY: Duration = Duration::from_millis(40);
+    const OBSERVATION_TIME: Duration = Duration::from_secs(4);
+    const WRITE_INTERVAL: Duration = Duration::from_millis(40);
     let store = MemoryStore::default();
     store.write(Change::Config(Arc::new(config(1))));
     let mut boxes: Vec<(EdgeHandle, MemoryStore)> = Vec::new();
@@ -185,22 +199,22 @@
     }
     for (edge, _) in &boxes {
         let context = Arc::clone(edge.context());
-        eventually("all are known", || members(&context) == boxes.len()).await;
+        eventually("all members are known", || members(&context) == boxes.len()).await;
     }
-    let nothing = || Change::Gone(ChangeKey::Upstream(UpstreamId::new("none")));
+    let no_op_change = || Change::Gone(ChangeKey::Upstream(UpstreamId::new("none")));
     // Completes the watches of boxes that no longer follow the store.
     store.write(with_route(2));
-    store.write(nothing());
+    store.write(no_op_change());
     for (edge, _) in &boxes {
         has_route(edge, 2).await;
     }
-    tokio::time::sleep(FOR / 4).await;
+    tokio::time::sleep(OBSERVATION_TIME / 4).await;
     let watches = || boxes.iter().map(|(_, access)| access.waits().len());
     let before: Vec<usize> = watches().collect();
     let began = Instant::now();
-    while began.elapsed() < FOR {
-        store.write(nothing());
-        tokio::time::sleep(EVERY).await;
+    while began.elapsed() < OBSERVATION_TIME {
+        store.write(no_op_change());
+        tokio::time::sleep(WRITE_INTERVAL).await;
     }
     let after: Vec<usize> = watches().collect();
     let more = before
@@ -216,17 +230,17 @@
 #[tokio::test]
 async fn a_box_that_trickles_holds_nobody_up() {
     /// Half of the time limit of a large reply, in pieces.
-    const MOST: usize = 40;
+    const PIECES_LIMIT: usize = 40;
     let store = MemoryStore::default();
     store.write(Change::Config(Arc::new(config(1))));
     let far = edge("far", Vec::new(), store.handle()).await;
     let access = store.handle();
     let near = edge("near", vec![far.addresses().peers], access.clone()).await;
     access.set_fault(StoreFault::TurnedAway);
-    let socket = listen(trickle).await;
-    tokio::spawn(know_all(socket, near.addresses().peers));
+    let socket = listen(reply_slowly).await;
+    tokio::spawn(run_member_with_newest(socket, near.addresses().peers));
     let context = Arc::clone(near.context());
-    eventually("all are known", || members(&context) == 3).await;
+    eventually("all members are known", || members(&context) == 3).await;
     // Completes the watch that was in progress when the fault began.
     store.write(with_route(2));
     has_route(&near, 2).await;
@@ -234,6 +248,9 @@
         store.write(with_route(version));
         has_route(&near, version).await;
     }
-    let pieces = MOST_PIECES.load(Ordering::Relaxed);
-    assert!((1..MOST).contains(&pieces), "waited for {pieces} pieces");
+    let pieces = MAX_PIECES_RECEIVED.load(Ordering::Relaxed);
+    assert!(
+        (1..PIECES_LIMIT).contains(&pieces),
+        "waited for {pieces} pieces of a slow reply"
+    );
 }
--- a/crates/edge/tests/registry.rs
+++ b/crates/edge/tests/registry.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-async fn serving(id: &str, seeds: Vec<SocketAddr>, store: &MemoryStore) -> EdgeHandle {
+async fn start_serving(id: &str, seeds: Vec<SocketAddr>, store: &MemoryStore) -> EdgeHandle {
     let edge = start(settings(id, seeds), Dialect::default(), store.handle())
         .await
         .unwrap();
@@ -25,15 +25,19 @@
     answer.addresses.len()
 }
 
-async fn listed(store: &MemoryStore) -> usize {
+async fn listed_boxes(store: &MemoryStore) -> usize {
     store.registered().await.unwrap().len()
 }
 
-async fn until_listed(store: &MemoryStore, count: usize) {
-    let mut tries = 0;
-    while listed(store).await != count {
-        tries += 1;
-        assert!(tries < 1_000, "{} are listed", listed(store).await);
+async fn wait_until_listed(store: &MemoryStore, count: usize) {
+    let mut attempts = 0;
+    while listed_boxes(store).await != count {
+        attempts += 1;
+        assert!(
+            attempts < 1_000,
+            "{} boxes are listed",
+            listed_boxes(store).await
+        );
         tokio::time::sleep(std::time::Duration::from_millis(10)).await;
     }
 }
@@ -48,20 +52,20 @@
 async fn boxes_whose_seeds_are_dead_meet_by_the_store_s_list() {
     let store = store();
     let dead: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let first = serving("box-1", vec![dead], &store).await;
-    until_listed(&store, 1).await;
-    let second = serving("box-2", vec![dead], &store).await;
+    let first = start_serving("box-1", vec![dead], &store).await;
+    wait_until_listed(&store, 1).await;
+    let second = start_serving("box-2", vec![dead], &store).await;
     let (one, two) = (Arc::clone(first.context()), Arc::clone(second.context()));
-    let have_met = || known_boxes(&one) == 2 && known_boxes(&two) == 2;
-    eventually("the boxes know each other", have_met).await;
+    let know_each_other = || known_boxes(&one) == 2 && known_boxes(&two) == 2;
+    eventually("the boxes know each other", know_each_other).await;
 }
 
 #[tokio::test]
 async fn a_box_that_leaves_is_no_longer_listed() {
     let store = store();
-    let edge = serving("box-1", Vec::new(), &store).await;
-    until_listed(&store, 1).await;
+    let edge = start_serving("box-1", Vec::new(), &store).await;
+    wait_until_listed(&store, 1).await;
     let stopping = tokio::spawn(edge.stop());
-    until_listed(&store, 0).await;
+    wait_until_listed(&store, 0).await;
     stopping.abort();
 }
--- a/crates/edge/tests/slow_links.rs
+++ b/crates/edge/tests/slow_links.rs
@@ -8,8 +8,8 @@
 use brasswinch_lab::faults::{Fault, FaultProxy, Rule, Target};
 use brasswinch_lab::memory_store::{MemoryStore, StoreFault};
 use brasswinch_routing::{Change, RouteKind, SteeringConfig};
-use common::know_all::know_all;
-use common::{PATIENCE, call, config, eventually, request, route, settings};
+use common::know_all::run_member_with_newest;
+use common::{MAX_CONDITION_WAIT, call, config, eventually, request, route, settings};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
     set_fault(&proxy, Fault::BytesPerSecond(SLOW_LINK_BYTES_PER_S));
     tokio::spawn(proxy.clone().run(listener, target));
     let socket = UdpSocket::bind(address).await.unwrap();
-    tokio::spawn(know_all(socket, address));
+    tokio::spawn(run_member_with_newest(socket, address));
     (far, address, proxy)
 }
 
@@ -90,7 +90,10 @@
 async fn has_added_route(edge: &EdgeHandle) {
     let began = Instant::now();
     while status(edge, "/added/1").await != 503 {
-        assert!(began.elapsed() < PATIENCE, "the added route never arrived");
+        assert!(
+            began.elapsed() < MAX_CONDITION_WAIT,
+            "the added route never arrived"
+        );
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/edge/tests/store_calls.rs
+++ b/crates/edge/tests/store_calls.rs
@@ -15,7 +15,7 @@
 const BOXES: usize = 16;
 
 /// How long calls are counted.
-const COUNTED: Duration = Duration::from_secs(4);
+const COUNT_TIME: Duration = Duration::from_secs(4);
 
 struct Fleet {
     store: MemoryStore,
@@ -42,7 +42,7 @@
             let answer = context.directory_answer(&Zone::new("west-a"), &Region::new("west"));
             answer.addresses.len() == BOXES
         };
-        eventually("the box knows all", knows_all).await;
+        eventually("the box knows all boxes", knows_all).await;
     }
     fleet
 }
@@ -59,7 +59,7 @@
         const EVERY: Duration = Duration::from_millis(250);
         let before = self.store.calls();
         let began = tokio::time::Instant::now();
-        while began.elapsed() < COUNTED {
+        while began.elapsed() < COUNT_TIME {
             for (edge, _) in &self.boxes {
                 call(edge.addresses().clients, request("GET", "/none/1", ""))
                     .await
@@ -92,13 +92,13 @@
         eventually("the box is ready", || context.is_ready()).await;
     }
     let calls = fleet.store.calls() - before;
-    assert!(calls <= 24, "{calls} calls for 8 boxes more");
+    assert!(calls <= 24, "{calls} calls for 8 more boxes");
 }
 
 #[tokio::test]
 async fn changes_are_fetched_by_two_boxes_whatever_the_fleet() {
     let fleet = fleet().await;
-    tokio::time::sleep(COUNTED).await;
+    tokio::time::sleep(COUNT_TIME).await;
     let before = fleet.store.calls();
     for number in 0..10 {
         let gone = ChangeKey::Upstream(UpstreamId::new(format!("gone-{number}")));
@@ -116,10 +116,10 @@
 async fn while_the_store_forgets_its_history_the_others_leave_it_to_those_that_follow() {
     const EVERY: Duration = Duration::from_millis(50);
     let fleet = fleet().await;
-    tokio::time::sleep(COUNTED).await;
+    tokio::time::sleep(COUNT_TIME).await;
     let waits = |number: &usize| fleet.boxes[*number].1.waits().len();
     let before: Vec<usize> = (0..BOXES).map(|number| waits(&number)).collect();
-    let (store, forgetting) = (fleet.store.clone(), fleet.calls_under_load());
+    let (store, load) = (fleet.store.clone(), fleet.calls_under_load());
     let forget = async {
         loop {
             store.forget_unseen_changes();
@@ -127,18 +127,18 @@
         }
     };
     tokio::select! {
-        _ = forgetting => {}
+        _ = load => {}
         never = forget => never,
     }
-    let asked = (0..BOXES).filter(|number| waits(number) > before[*number]);
-    let asked: Vec<usize> = asked.collect();
-    assert_eq!(asked.len(), 2, "boxes that asked: {asked:?}");
+    let callers = (0..BOXES).filter(|number| waits(number) > before[*number]);
+    let callers: Vec<usize> = callers.collect();
+    assert_eq!(callers.len(), 2, "boxes that called the store: {callers:?}");
 }
 
 #[tokio::test]
 async fn in_an_outage_few_boxes_try_and_all_learn_that_it_is_over() {
     let fleet = fleet().await;
-    tokio::time::sleep(COUNTED).await;
+    tokio::time::sleep(COUNT_TIME).await;
     fleet.set_fault(StoreFault::TurnedAway);
     let calls = fleet.calls_under_load().await;
     // Two boxes with two scopes, about three attempts per second each, and the boxes that step
@@ -152,7 +152,7 @@
     fleet.set_fault(StoreFault::None);
     for (edge, _) in &fleet.boxes {
         let clients = edge.addresses().clients;
-        let mut tries = 0;
+        let mut attempts = 0;
         // There are no upstreams, so the route answers 503.
         while call(clients, request("GET", "/new/1", ""))
             .await
@@ -160,8 +160,11 @@
             .status
             != 503
         {
-            tries += 1;
-            assert!(tries < 1_000, "the outage's end is never learned");
+            attempts += 1;
+            assert!(
+                attempts < 1_000,
+                "the box never learned that the outage ended"
+            );
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     }
--- a/crates/edge/tests/upstream_limits.rs
+++ b/crates/edge/tests/upstream_limits.rs
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 /// Time for all boxes to apply a limit after an upstream first sets it.
-const LEARNED_WITHIN: Duration = Duration::from_secs(3);
+const APPLY_TIME: Duration = Duration::from_secs(3);
 
 /// The window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
@@ -28,7 +28,7 @@
 }
 
 /// Returns the most requests to `upstream` in any window that begins after `from`.
-fn most_in_window(upstream: &Upstream, from: Instant) -> usize {
+fn max_in_window(upstream: &Upstream, from: Instant) -> usize {
     let seen = upstream.seen();
     let at: Vec<Instant> = seen.iter().map(|seen| seen.at).collect();
     let counted = at.iter().filter(|begin| **begin >= from);
@@ -44,19 +44,22 @@
     let fleet = Fleet::start(BOXES).await;
     let home = fleet.home().await;
     home.name_limits(&["5"]);
-    let named_at = Instant::now();
-    let answers = fleet.press(LEARNED_WITHIN + WINDOW + WINDOW / 2).await;
-    let most = most_in_window(&home, named_at + LEARNED_WITHIN);
-    assert!(most > 0, "it serves what its limit leaves");
+    let limit_set_at = Instant::now();
+    let answers = fleet.send_requests(APPLY_TIME + WINDOW + WINDOW / 2).await;
+    let max_requests = max_in_window(&home, limit_set_at + APPLY_TIME);
     assert!(
-        most <= allowed(5.0),
-        "{most} requests in {WINDOW:?}, of {} under its limit",
+        max_requests > 0,
+        "the upstream got no request under its limit"
+    );
+    assert!(
+        max_requests <= allowed(5.0),
+        "{max_requests} requests in {WINDOW:?}, of {} under its limit",
         allowed(5.0)
     );
     for handle in &fleet.boxes {
         let context = handle.context();
-        let knows = |held: &LimitStatus| held.upstream.as_str() == home.id;
-        assert!(context.status().limits.iter().any(knows));
+        let is_for_home = |limit: &LimitStatus| limit.upstream.as_str() == home.id;
+        assert!(context.status().limits.iter().any(is_for_home));
         let text = context.metrics_text();
         assert!(text.contains("brasswinch_upstreams_limited 1"), "{text}");
         assert!(text.contains("limit_requests_total{service=\"desk\",outcome=\"held_off\"}"));
@@ -75,12 +78,12 @@
     let fleet = Fleet::start(BOXES).await;
     let home = fleet.home().await;
     home.name_limits(&["0.5"]);
-    fleet.press(LEARNED_WITHIN).await;
+    fleet.send_requests(APPLY_TIME).await;
     home.name_limits(&[]);
     // Requests under the limit are two seconds apart, and one of them shows that it has ended.
-    fleet.press(LEARNED_WITHIN + WINDOW).await;
+    fleet.send_requests(APPLY_TIME + WINDOW).await;
     let before = home.seen().len();
-    let answers = fleet.press(Duration::from_secs(1)).await;
+    let answers = fleet.send_requests(Duration::from_secs(1)).await;
     assert_eq!(home.seen().len() - before, answers.len());
 }
 
@@ -89,11 +92,17 @@
     let fleet = Fleet::start(BOXES).await;
     let home = fleet.home().await;
     home.name_limits(&["0"]);
-    let named_at = Instant::now();
-    let answers = fleet.press(LEARNED_WITHIN + WINDOW).await;
-    let most = most_in_window(&home, named_at + LEARNED_WITHIN);
-    assert!(most > 0, "nothing would tell that the limit has ended");
-    assert!(most <= allowed(0.0), "{most} requests in {WINDOW:?}");
+    let limit_set_at = Instant::now();
+    let answers = fleet.send_requests(APPLY_TIME + WINDOW).await;
+    let max_requests = max_in_window(&home, limit_set_at + APPLY_TIME);
+    assert!(
+        max_requests > 0,
+        "without a request, no box learns that the limit has ended"
+    );
+    assert!(
+        max_requests <= allowed(0.0),
+        "{max_requests} requests in {WINDOW:?}"
+    );
     assert_eq!(served(&answers), answers.len());
 }
 
@@ -105,7 +114,7 @@
     for limits in [&["-1"][..], &["NaN"], &["inf"], &[&endless], &["3", "3"]] {
         home.name_limits(limits);
         let before = home.seen().len();
-        let answers = fleet.press(PAUSE * 10).await;
+        let answers = fleet.send_requests(PAUSE * 10).await;
         assert_eq!(served(&answers), answers.len());
         assert_eq!(home.seen().len() - before, answers.len(), "{limits:?}");
     }
@@ -117,14 +126,24 @@
     for upstream in &fleet.upstreams {
         upstream.name_limits(&["2"]);
     }
-    let named_at = Instant::now();
-    let answers = fleet.press(LEARNED_WITHIN + WINDOW).await;
+    let limit_set_at = Instant::now();
+    let answers = fleet.send_requests(APPLY_TIME + WINDOW).await;
     for upstream in &fleet.upstreams {
-        let most = most_in_window(upstream, named_at + LEARNED_WITHIN);
-        assert!(most <= allowed(2.0), "{}: {most}", upstream.id);
+        let max_requests = max_in_window(upstream, limit_set_at + APPLY_TIME);
+        assert!(
+            max_requests <= allowed(2.0),
+            "{}: {max_requests}",
+            upstream.id
+        );
     }
-    let refused: Vec<&Answer> = answers.iter().filter(|held| held.status != 200).collect();
-    assert!(!refused.is_empty(), "they take 8 of some 60 a second");
+    let refused: Vec<&Answer> = answers
+        .iter()
+        .filter(|answer| answer.status != 200)
+        .collect();
+    assert!(
+        !refused.is_empty(),
+        "the upstreams accept 8 of some 60 requests per second"
+    );
     for answer in refused {
         assert_eq!(answer.status, 503);
         assert!(answer.headers.contains_key("retry-after"));
--- a/crates/edge/tests/upstream_signals.rs
+++ b/crates/edge/tests/upstream_signals.rs
@@ -36,9 +36,9 @@
         store.set_fault(StoreFault::Silent);
     }
     home.say_leaving(&["1"]);
-    fleet.press(SETTLE_TIME).await;
+    fleet.send_requests(SETTLE_TIME).await;
     let announced_at = Instant::now();
-    let answers = fleet.press(OBSERVATION_TIME).await;
+    let answers = fleet.send_requests(OBSERVATION_TIME).await;
     assert_eq!(seen_from(&home, announced_at), 0);
     assert_eq!(served(&answers), answers.len(), "the others have room");
 }
@@ -50,9 +50,9 @@
     let home = fleet.home().await;
     home.ask_for_rest(&[LONG_RETRY_AFTER_S]);
     home.always(Behaviour::Refuse);
-    fleet.press(SETTLE_TIME).await;
+    fleet.send_requests(SETTLE_TIME).await;
     let paused_from = Instant::now();
-    let answers = fleet.press(OBSERVATION_TIME).await;
+    let answers = fleet.send_requests(OBSERVATION_TIME).await;
     let metrics = fleet.boxes[0].context().metrics_text();
     let resting = "brasswinch_upstreams{service=\"desk\",state=\"resting\"} 1";
     assert!(metrics.contains(resting), "{metrics}");
@@ -79,7 +79,7 @@
         home.ask_for_rest(retry_afters);
         home.script([Behaviour::Refuse]);
         let before = home.seen().len();
-        let answers = fleet.press(PAUSE * 10).await;
+        let answers = fleet.send_requests(PAUSE * 10).await;
         assert_eq!(served(&answers), answers.len(), "{retry_afters:?}");
         assert_eq!(
             home.seen().len() - before,
@@ -98,7 +98,7 @@
     for values in [&["0"][..], &["true"], &[""], &[&long], &["1", "1"]] {
         home.say_leaving(values);
         let before = home.seen().len();
-        let answers = fleet.press(PAUSE * 5).await;
+        let answers = fleet.send_requests(PAUSE * 5).await;
         assert_eq!(served(&answers), answers.len(), "{values:?}");
         assert_eq!(home.seen().len() - before, answers.len(), "{values:?}");
     }
@@ -113,9 +113,9 @@
         upstream.ask_for_rest(&[LONG_RETRY_AFTER_S]);
         upstream.always(Behaviour::Refuse);
     }
-    fleet.press(SETTLE_TIME).await;
+    fleet.send_requests(SETTLE_TIME).await;
     let paused_from = Instant::now();
-    let answers = fleet.press(PAUSE * 10).await;
+    let answers = fleet.send_requests(PAUSE * 10).await;
     for upstream in &fleet.upstreams {
         assert_eq!(seen_from(upstream, paused_from), 0);
     }
@@ -140,9 +140,9 @@
         store.set_fault(StoreFault::Silent);
     }
     home.turn_cold(30);
-    fleet.press(SETTLE_TIME * 2).await;
+    fleet.send_requests(SETTLE_TIME * 2).await;
     let from = Instant::now();
-    fleet.press(Duration::from_secs(1)).await;
+    fleet.send_requests(Duration::from_secs(1)).await;
     let seen = seen_from(&home, from);
     assert!(seen <= MAX_REQUESTS_PER_S, "{seen} requests in a second");
 }
