--- a/crates/edge/src/advice.rs
+++ b/crates/edge/src/advice.rs
@@ -103,7 +103,7 @@
     let Some((coordinator, advice_query)) = advice_query else {
         return (None, None);
     };
-    let asked = |coordinator| CompletionGuard {
+    let guard_for = |coordinator| CompletionGuard {
         context: Arc::clone(context),
         coordinator,
         completion: CompletionReport {
@@ -118,20 +118,20 @@
     };
     if coordinator == context.settings.id {
         let advice = context.placement().advise(&advice_query, now);
-        return (Some(asked(None)), advice);
+        return (Some(guard_for(None)), advice);
     }
     let Some(address) = context.peer_address(&coordinator) else {
         return (None, None);
     };
     if context.advice_requests.is_unreachable(&coordinator) {
         // It may still receive the report, and needs it to track its upstreams' objects.
-        return (Some(asked(Some(address))), None);
+        return (Some(guard_for(Some(address))), None);
     }
-    let asked = asked(Some(address));
+    let guard = guard_for(Some(address));
     let advice = context
         .query_peer(&coordinator, address, advice_query)
         .await;
-    (Some(asked), advice)
+    (Some(guard), advice)
 }
 
 impl AdviceRequests {
--- a/crates/edge/src/catch_up.rs
+++ b/crates/edge/src/catch_up.rs
@@ -10,13 +10,14 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
-/// How long a box that watches the store waits for its own watch before it asks another box.
+/// How long a box that watches the store waits for its own watch before it requests updates
+/// from another box.
 const OWN_WATCH_HEAD_START: Duration = Duration::from_millis(250);
 
 /// Pause after a reply that did not help.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// How long to wait for one box before a second one is asked in parallel. A box that replies
+/// How long to wait for one box before a second one is queried in parallel. A box that replies
 /// slowly could otherwise block the scope for the whole time limit of a large reply.
 const HEDGE_DELAY: Duration = Duration::from_millis(600);
 
@@ -93,11 +94,12 @@
 fn apply_reply(context: &Context, peer: SocketAddr, scope: Scope, reply: CatchUpReply) {
     let now = context.clock.now();
     let age = context.view_age_ms(scope);
-    let learned = context.fleet().catch_up(reply.changes, now);
-    match learned {
+    let merged = context.fleet().catch_up(reply.changes, now);
+    match merged {
         Ok(true) => context.publish(),
         Ok(false) => {}
-        // The configuration changed while the reply was on its way; the box asks again.
+        // The configuration changed while the reply was on its way; the box sends another
+        // request.
         Err(mismatch) => emit(Event::NewsOutdated, format_args!("{peer}: {mismatch}")),
     }
     let (bytes, took) = (reply.bytes, reply.took.as_millis());
@@ -105,8 +107,8 @@
 }
 
 /// Returns the boxes with a newer revision of `scope`. Where some have the newest revision that
-/// this box has been told exists, returns only those: a box that is barely ahead would make it
-/// ask again.
+/// any box has reported, returns only those: after updates from a box that is barely ahead,
+/// another request would be needed.
 fn peers_ahead(context: &Context, scope: Scope) -> Vec<Candidate> {
     let (mine, pending) = {
         let fleet = context.fleet();
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -38,8 +38,9 @@
 /// Added to an upstream's heartbeat interval while a notice of its cold start is pending.
 const ENTRY_LAG_MS: Millis = 1_500;
 
-/// Fraction of the drain time for which an upstream whose store entry was lost stays in use.
-/// The remaining 0.5 s of 2 s covers the transit of a request, at most 0.39 s.
+/// Fraction of the drain time, during which a leaving upstream may still get requests, for
+/// which an upstream whose store entry was lost stays in use. The remaining 0.5 s of 2 s
+/// covers the transit of a request, at most 0.39 s.
 const RETAINED_FRACTION: f64 = 0.75;
 
 /// Minimum boxes in a region for advice on upstreams' load to be requested from coordinators.
@@ -253,7 +254,7 @@
         self.lifecycle() == Lifecycle::Serving
     }
 
-    /// Publishes the latest configuration and upstreams to routing.
+    /// Activates the latest configuration and upstreams.
     pub(crate) fn publish(&self) {
         let fleet = self.fleet();
         let Some(config) = fleet.config() else {
@@ -327,7 +328,7 @@
         self.swim().set_seeds(seeds);
     }
 
-    /// Publishes the known boxes and their demand to placement, quotas, limits and quarantine.
+    /// Passes the known boxes and their demand to placement, quotas, limits and quarantine.
     pub(crate) fn publish_members(&self) {
         self.publish_fleet_size();
         let swim = self.swim();
--- a/crates/edge/src/fleet_size.rs
+++ b/crates/edge/src/fleet_size.rs
@@ -1,8 +1,8 @@
-//! Tracks the fleet size, by the store and by other boxes.
+//! Tracks the fleet size, which the store holds and other boxes report.
 //!
-//! The store keeps the size beyond the life of all boxes: a box that starts during a network
-//! partition reads it before it serves. Boxes that don't watch the store get it from membership
-//! messages.
+//! The store holds the size even while no box is running, and a box that starts during a
+//! network partition reads it before it serves. Boxes that don't watch the store get it from
+//! membership messages.
 
 use crate::context::Context;
 use crate::store::FleetSizeStore;
@@ -34,8 +34,8 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Reads the fleet size from the store as soon as this box watches the store, and keeps it up
-/// to date there while this box is the leader.
+/// Reads the fleet size from the store as soon as this box watches the store, and updates it
+/// there while this box is the leader.
 pub(crate) async fn sync<S: FleetSizeStore>(context: Arc<Context>, store: Arc<S>) {
     context.wait_until_watching().await;
     let mut backoff = INITIAL_BACKOFF;
@@ -62,8 +62,8 @@
         .store_calls
         .count(StoreCall::FleetSize, CallReason::SharedRates);
     match store.fleet_size().await {
-        Ok(recorded) => {
-            lock(&context.fleet_size.size).set_stored(recorded.unwrap_or(0));
+        Ok(stored) => {
+            lock(&context.fleet_size.size).set_stored(stored.unwrap_or(0));
             context.publish_members();
             true
         }
@@ -93,7 +93,7 @@
 }
 
 impl KnownFleetSize {
-    /// Returns the number of boxes that this one takes the fleet to have.
+    /// Returns the fleet size that this box assumes.
     pub(crate) fn boxes(&self) -> usize {
         lock(&self.size).boxes()
     }
@@ -105,7 +105,7 @@
         lock(&self.fleet_size.size).known(self.clock.now())
     }
 
-    /// Updates the size from the live boxes, and announces what this box knows of it.
+    /// Updates the size from the live boxes, and announces the size known to this box.
     pub(crate) fn publish_fleet_size(&self) {
         let now = self.clock.now();
         let mut swim = self.swim();
--- a/crates/edge/src/gossip.rs
+++ b/crates/edge/src/gossip.rs
@@ -94,16 +94,16 @@
 
 fn receive(context: &Context, datagram: &[u8], from: SocketAddr) -> Vec<(SocketAddr, SwimMessage)> {
     match ciborium::from_reader::<Datagram, _>(datagram) {
-        Ok(Datagram::AdviceQuery(question)) => context.handle_advice_query(&question, from),
+        Ok(Datagram::AdviceQuery(query)) => context.handle_advice_query(&query, from),
         Ok(Datagram::Advice(advice)) => context.handle_advice(advice, from),
         Ok(Datagram::CompletionReport(completion)) => context.handle_completion(&completion),
         Ok(Datagram::QuotaCount(count)) => context.handle_quota_count(&count, from),
         Ok(Datagram::QuotaReply(reply)) => context.handle_quota_reply(reply, from),
         Ok(Datagram::CrashReport(report)) => context.handle_crash_report(&report, from),
-        Ok(Datagram::LimitQuery(question)) => context.handle_limit_query(&question, from),
+        Ok(Datagram::LimitQuery(query)) => context.handle_limit_query(&query, from),
         Ok(Datagram::LimitReply(reply)) => context.handle_limit_reply(reply),
-        Ok(Datagram::LimitUpdate(news)) => context.handle_limit_update(&news),
-        Ok(Datagram::ColdNotice(news)) => context.handle_cold_notice(&news),
+        Ok(Datagram::LimitUpdate(update)) => context.handle_limit_update(&update),
+        Ok(Datagram::ColdNotice(notice)) => context.handle_cold_notice(&notice),
         Ok(Datagram::Swim(message)) => {
             if let SwimMessage::Known { id, views, failing } = &message {
                 context.handle_view_report(id, views, *failing);
--- a/crates/edge/src/quarantine.rs
+++ b/crates/edge/src/quarantine.rs
@@ -84,8 +84,8 @@
     /// Handles another box's report on a request.
     pub(crate) fn handle_crash_report(&self, report: &CrashReport, from: SocketAddr) {
         let now = self.clock.now();
-        let heard = self.quarantine.lock().handle_report(report, from, now);
-        match heard {
+        let merged = self.quarantine.lock().handle_report(report, from, now);
+        match merged {
             Ok(()) => self.send_crash_reports(),
             Err(error) => emit(Event::PeerMalformed, format_args!("{from}: {error}")),
         }
@@ -112,8 +112,8 @@
     pub(crate) fn take_unconfirmed(&self) -> Vec<(CrashReport, Duration)> {
         let now = self.clock.now();
         let unconfirmed = self.quarantine.lock().take_unconfirmed(now);
-        let spans = unconfirmed.into_iter();
-        spans
+        let unconfirmed = unconfirmed.into_iter();
+        unconfirmed
             .map(|(report, for_ms)| (report, Duration::from_millis(for_ms)))
             .collect()
     }
@@ -121,8 +121,8 @@
     /// Merges the store's report on a request.
     pub(crate) fn merge_stored_quarantine(&self, report: &CrashReport) {
         let now = self.clock.now();
-        let heard = self.quarantine.lock().merge_stored(report, now);
-        match heard {
+        let merged = self.quarantine.lock().merge_stored(report, now);
+        match merged {
             Ok(()) => self.send_crash_reports(),
             Err(error) => emit(Event::ConfigMalformed, format_args!("quarantine: {error}")),
         }
--- a/crates/edge/src/refresh.rs
+++ b/crates/edge/src/refresh.rs
@@ -2,7 +2,7 @@
 //!
 //! Updates reach a box through several hops from the boxes that follow the store, and each hop
 //! may fail or be slow: boxes may be dead, frozen or cut off, or a connection may stall. So
-//! each box tracks as of when its view is complete, and asks the store itself before the view
+//! each box tracks as of when its view is complete, and calls the store itself before the view
 //! is so old that a guaranteed time limit could be missed: see
 //! [`ViewLimits`](brasswinch_routing::ViewLimits).
 
--- a/crates/edge/src/registry.rs
+++ b/crates/edge/src/registry.rs
@@ -1,8 +1,8 @@
 //! Registers the box in the store under a lease, and discovers boxes there that the membership
 //! doesn't know.
 //!
-//! Seeds may be outdated or down, and two groups of boxes without contact would stay separate.
-//! They discover each other through the store's list of boxes.
+//! Seeds may be outdated or down, and two groups of boxes that don't know each other would stay
+//! separate. They discover each other through the store's list of boxes.
 
 use crate::context::{Context, Lifecycle};
 use crate::store::{BoxRegistry, LeaseId, Registration, StoreFailure};
@@ -40,8 +40,8 @@
 /// How long a box without live peers waits for its seeds before it reads the list.
 const ISOLATION_WAIT: Duration = Duration::from_secs(2);
 
-/// Keeps the box registered while it serves and has a duty to follow or relay the store. A few
-/// registered boxes per zone are enough for discovery.
+/// Registers the box and renews its lease while it serves and has a duty to follow or relay the
+/// store. A few registered boxes per zone are enough for discovery.
 pub(crate) async fn stay_registered<S: BoxRegistry>(context: Arc<Context>, store: Arc<S>) {
     context.reached(Lifecycle::Serving).await;
     let mut backoff = INITIAL_BACKOFF;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns whether the box keeps a store duty for `DUTY_CHECKS` checks.
+/// Returns whether the box has a store duty in `DUTY_CHECKS` consecutive checks.
 async fn has_duty(context: &Context) -> bool {
     for _ in 0..DUTY_CHECKS {
         if context.duty() == StoreDuty::Listen {
--- a/crates/edge/src/start.rs
+++ b/crates/edge/src/start.rs
@@ -191,11 +191,11 @@
 }
 
 /// Returns the bound address; the system chooses the port where the settings leave it open.
-fn bound_address(listener: &TcpListener, asked: SocketAddr) -> SocketAddr {
-    listener.local_addr().unwrap_or(asked)
+fn bound_address(listener: &TcpListener, requested: SocketAddr) -> SocketAddr {
+    listener.local_addr().unwrap_or(requested)
 }
 
-/// Binds the same port for connections and datagrams of other boxes.
+/// Listens on the same port for connections and datagrams of other boxes.
 fn listen_to_peers(address: SocketAddr) -> Result<(TcpListener, Arc<UdpSocket>), EdgeError> {
     let mut last = None;
     for _ in 0..MAX_PORT_ATTEMPTS {
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -16,7 +16,7 @@
     /// The lease has expired or was revoked.
     #[error("the lease has ended")]
     LeaseEnded,
-    /// The store rejected the call for too many calls.
+    /// The store rejected the call because it gets too many.
     #[error("the store is busy")]
     Busy,
     /// The reply began but was not completed: it took too long or was too large.
@@ -53,8 +53,8 @@
     /// Returns all entries of `scope`.
     fn list(&self, scope: Scope) -> impl Future<Output = Result<Snapshot, StoreFailure>> + Send;
 
-    /// Waits at most `wait` for a change in `scope` after a revision. Calls `on_reply_start` when the
-    /// reply begins.
+    /// Waits at most `wait` for a change in `scope` after a revision. Calls
+    /// `on_reply_start` when the reply begins.
     fn watch(
         &self,
         scope: Scope,
--- a/crates/edge/src/store_watch.rs
+++ b/crates/edge/src/store_watch.rs
@@ -12,9 +12,9 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Average time that a starting box waits for updates from other boxes before it asks the store
-/// itself. Where all boxes start at once, only the seeds then ask: without this delay 295 boxes
-/// received 1,406 updates from the store in their first 4 s.
+/// Average time that a starting box waits for updates from other boxes before it calls the
+/// store itself. Where all boxes start at once, only the seeds then call it: without this delay
+/// 295 boxes received 1,406 updates from the store in their first 4 s.
 const PEERS_FIRST_DELAY: Duration = Duration::from_secs(2);
 
 /// Minimum time before a change of duty takes effect while there are other boxes. A starting
@@ -53,7 +53,8 @@
 }
 
 impl Duty {
-    /// A box that starts with the store follows it until others do.
+    /// Creates the duty of a starting box: one that starts with the store follows it until
+    /// others do.
     fn new(watchers: Watchers, starts_with_store: bool) -> Self {
         let settled = if starts_with_store {
             StoreDuty::Follow
@@ -67,7 +68,8 @@
         }
     }
 
-    fn take(&mut self, watchers: Watchers, is_alone: bool, now: Millis) {
+    /// Records the newly selected duty, and puts it into effect once it has lasted long enough.
+    fn select(&mut self, watchers: Watchers, is_alone: bool, now: Millis) {
         let newest = watchers.duty;
         if newest != self.watchers.duty {
             self.since = now;
@@ -89,7 +91,7 @@
 #[derive(Debug)]
 pub(crate) struct StoreWatch {
     watches_store: watch::Sender<bool>,
-    /// Whether this box asks the store before it has received updates from others.
+    /// Whether this box calls the store before it has received updates from others.
     starts_with_store: AtomicBool,
     /// Until when the store is left to another box that retries, in milliseconds.
     deferred_until: AtomicU64,
@@ -98,7 +100,8 @@
 }
 
 impl StoreWatch {
-    /// A box without seeds, or that is a seed itself, asks the store at once.
+    /// Creates the state; a box without seeds, or that is a seed itself, calls the store at
+    /// once.
     pub(crate) fn new(settings: &EdgeSettings, swim: &Swim) -> Self {
         let me = settings.addresses.peers;
         let starts_with_store = settings.seeds.is_empty() || settings.seeds.contains(&me);
@@ -137,7 +140,7 @@
             (Watchers::of(&swim), !has_others)
         };
         let now = self.clock.now();
-        lock(&self.store_watch.duty).take(watchers, is_alone, now);
+        lock(&self.store_watch.duty).select(watchers, is_alone, now);
         let starts_with_store = self.store_watch.starts_with_store.load(Ordering::Relaxed);
         let watches = self.duty().follows_store() || (starts_with_store && !self.has_store_view());
         self.store_watch.watches_store.send_if_modified(|held| {
--- a/crates/edge/src/upstream_limits.rs
+++ b/crates/edge/src/upstream_limits.rs
@@ -97,20 +97,20 @@
         if self.upstream_limits.lock().is_empty() {
             return Ok(chosen);
         }
-        let mut counted = PendingGrant {
+        let mut pending = PendingGrant {
             context: self,
             choice: &chosen.choice,
             is_decided: false,
         };
         let grant = self.request_grant(&chosen.choice, left).await;
-        counted.is_decided = true;
-        drop(counted);
+        pending.is_decided = true;
+        drop(pending);
         let now = self.clock.now();
         let refusal = match grant {
             Ok(Grant::NotNeeded) => return Ok(chosen),
             Ok(Grant::Given) => {
-                // It may have left, or asked for a backoff, while its limit's coordinator was
-                // queried.
+                // The upstream may have left, or requested a backoff, while its limit's
+                // coordinator was queried.
                 if self.placement().may_send(&chosen.choice, now) {
                     self.metrics.count_limited(&chosen.choice.service, true);
                     chosen.grant = Grant::Given;
