--- a/crates/edge/src/catch_up.rs
+++ b/crates/edge/src/catch_up.rs
@@ -110,28 +110,28 @@
 /// any box has reported, returns only those: after updates from a box that is barely ahead,
 /// another request would be needed.
 fn peers_ahead(context: &Context, scope: Scope) -> Vec<Candidate> {
-    let (mine, pending) = {
+    let (own, pending) = {
         let fleet = context.fleet();
         (
             fleet.newest(scope).unwrap_or_default(),
             fleet.pending_revision(scope).unwrap_or_default(),
         )
     };
-    let mut peers_ahead = peers_beyond(context, scope, mine);
+    let mut peers_ahead = peers_beyond(context, scope, own);
     if peers_ahead.iter().any(|other| other.revision >= pending) {
         peers_ahead.retain(|other| other.revision >= pending);
     }
     peers_ahead
 }
 
-fn peers_beyond(context: &Context, scope: Scope, mine: Revision) -> Vec<Candidate> {
+fn peers_beyond(context: &Context, scope: Scope, own: Revision) -> Vec<Candidate> {
     let swim = context.swim();
-    if swim.newest_reported(scope) <= mine {
+    if swim.newest_reported(scope) <= own {
         return Vec::new();
     }
     swim.members()
         .filter(|member| member.liveness == Liveness::Alive)
-        .filter(|member| member.record.revision(scope) > mine)
+        .filter(|member| member.record.revision(scope) > own)
         .map(|member| Candidate {
             peer: member.record.peer_address,
             distance: distance(context, member),
@@ -141,11 +141,11 @@
 }
 
 fn distance(context: &Context, member: &Member) -> Distance {
-    let (mine, other) = (&context.settings.zone, &member.record.zone);
+    let (own, other) = (&context.settings.zone, &member.record.zone);
     let zones = &context.settings.zones;
-    if mine == other {
+    if own == other {
         Distance::Zone
-    } else if zones.get(mine) == zones.get(other) {
+    } else if zones.get(own) == zones.get(other) {
         Distance::Region
     } else {
         Distance::Elsewhere
--- a/crates/edge/src/context.rs
+++ b/crates/edge/src/context.rs
@@ -226,10 +226,10 @@
 
     /// Advances to a later stage; earlier stages are ignored.
     pub(crate) fn advance(&self, to: Lifecycle) {
-        self.lifecycle.send_if_modified(|held| {
-            let is_later = to > *held;
+        self.lifecycle.send_if_modified(|stage| {
+            let is_later = to > *stage;
             if is_later {
-                *held = to;
+                *stage = to;
             }
             is_later
         });
@@ -246,7 +246,7 @@
     /// Waits until the box has reached `stage` or a later one.
     pub(crate) async fn reached(&self, stage: Lifecycle) {
         let mut changes = self.lifecycle.subscribe();
-        let _ = changes.wait_for(|held| *held >= stage).await;
+        let _ = changes.wait_for(|current| *current >= stage).await;
     }
 
     /// Returns whether clients may be directed to this box.
@@ -260,10 +260,10 @@
         let Some(config) = fleet.config() else {
             return;
         };
-        let held = self.in_force.load();
-        let is_new = held
+        let active = self.in_force.load();
+        let is_new = active
             .as_ref()
-            .is_none_or(|held| held.config.version != config.version);
+            .is_none_or(|active| active.config.version != config.version);
         if is_new {
             emit(
                 Event::ConfigInForce,
--- a/crates/edge/src/fleet_size.rs
+++ b/crates/edge/src/fleet_size.rs
@@ -67,7 +67,7 @@
             context.publish_members();
             true
         }
-        // The read is retried; until then the box goes by reports of other boxes.
+        // The read is retried; until then the box uses the size that other boxes report.
         Err(error) => {
             emit(Event::StoreUnreachable, format_args!("fleet size: {error}"));
             false
--- a/crates/edge/src/quarantine.rs
+++ b/crates/edge/src/quarantine.rs
@@ -53,24 +53,25 @@
         self.quarantine.lock().verdict(digest, now)
     }
 
-    /// Records that the upstream `at` broke the connection during the request sent at `began`.
+    /// Records that the upstream of `incarnation` broke the connection during the request that
+    /// was sent at `began`.
     pub(crate) fn record_run_crash(
         &self,
         digest: RequestDigest,
         suspect: &Suspect,
-        at: &UpstreamIncarnation,
+        incarnation: &UpstreamIncarnation,
         began: Instant,
     ) {
         let now = self.clock.now();
-        let run = UpstreamCrash {
-            upstream: at.upstream.clone(),
-            started: at.started,
+        let crash = UpstreamCrash {
+            upstream: incarnation.upstream.clone(),
+            started: incarnation.started,
             began: now.saturating_sub(Clock::millis(began.elapsed())),
             ended: now,
         };
         self.quarantine
             .lock()
-            .record_crash(digest, suspect, run, now);
+            .record_crash(digest, suspect, crash, now);
         self.send_crash_reports();
     }
 
@@ -184,9 +185,9 @@
 impl fmt::Display for CrashList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "upstreams={}", self.0.len())?;
-        self.0.iter().try_for_each(|run| {
-            let ran_ms = run.ended.saturating_sub(run.began);
-            write!(f, " {}:{ran_ms}ms", run.upstream)
+        self.0.iter().try_for_each(|crash| {
+            let ran_ms = crash.ended.saturating_sub(crash.began);
+            write!(f, " {}:{ran_ms}ms", crash.upstream)
         })
     }
 }
--- a/crates/edge/src/quarantine_store.rs
+++ b/crates/edge/src/quarantine_store.rs
@@ -84,7 +84,7 @@
                 .for_each(|report| context.merge_stored_quarantine(report));
             true
         }
-        // The read is retried; until then the box goes by its own records.
+        // The read is retried; until then the box uses its own records.
         Err(error) => {
             report_failure(&error);
             false
--- a/crates/edge/src/quotas.rs
+++ b/crates/edge/src/quotas.rs
@@ -233,8 +233,8 @@
     pub(crate) fn retain_quotas(&self, config: &SteeringConfig) {
         let workspaces = &config.workspaces;
         self.quotas.quotas().retain(|name| {
-            let held = workspaces.get(name);
-            held.is_some_and(|held| held.quota.is_some())
+            let workspace = workspaces.get(name);
+            workspace.is_some_and(|workspace| workspace.quota.is_some())
         });
     }
 
--- a/crates/edge/src/refresh.rs
+++ b/crates/edge/src/refresh.rs
@@ -21,7 +21,7 @@
 /// Poll interval while there is no view yet, or another call to the store is in progress.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Keeps the view of `scope` fresh for as long as the process runs.
+/// Refreshes the view of `scope` whenever it becomes stale, for as long as the process runs.
 pub(crate) async fn keep_fresh<S: FleetStore>(context: Arc<Context>, store: Arc<S>, scope: Scope) {
     let mut backoff = INITIAL_BACKOFF;
     loop {
--- a/crates/edge/src/start.rs
+++ b/crates/edge/src/start.rs
@@ -139,10 +139,10 @@
         let grace = context.grace();
         sleep(grace.mul_f64(OPEN_GRACE_FRACTION)).await;
         context.advance(Lifecycle::Closed);
-        let last = began + grace.mul_f64(MAX_GRACE_FRACTION);
+        let deadline = began + grace.mul_f64(MAX_GRACE_FRACTION);
         // Open connections may still receive requests that were sent before they close.
         sleep(server::CLOSE_GRACE + STAGE_POLL).await;
-        while context.in_flight.load(Ordering::Relaxed) > 0 && Instant::now() < last {
+        while context.in_flight.load(Ordering::Relaxed) > 0 && Instant::now() < deadline {
             sleep(STAGE_POLL).await;
         }
         // The last answers are still in the connections' buffers.
@@ -197,17 +197,17 @@
 
 /// Listens on the same port for connections and datagrams of other boxes.
 fn listen_to_peers(address: SocketAddr) -> Result<(TcpListener, Arc<UdpSocket>), EdgeError> {
-    let mut last = None;
+    let mut last_error = None;
     for _ in 0..MAX_PORT_ATTEMPTS {
         let listener = listen(address)?;
         let port = bound_address(&listener, address);
         match bind_datagrams(port) {
             Ok(socket) => return Ok((listener, Arc::new(socket))),
-            Err(source) if address.port() == 0 => last = Some(source),
+            Err(source) if address.port() == 0 => last_error = Some(source),
             Err(source) => return Err(bind_error(port, source)),
         }
     }
-    let source = last.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into());
+    let source = last_error.unwrap_or_else(|| std::io::ErrorKind::AddrInUse.into());
     Err(bind_error(address, source))
 }
 
--- a/crates/edge/src/store_watch.rs
+++ b/crates/edge/src/store_watch.rs
@@ -143,10 +143,10 @@
         lock(&self.store_watch.duty).select(watchers, is_alone, now);
         let starts_with_store = self.store_watch.starts_with_store.load(Ordering::Relaxed);
         let watches = self.duty().follows_store() || (starts_with_store && !self.has_store_view());
-        self.store_watch.watches_store.send_if_modified(|held| {
-            let is_new = *held != watches;
-            *held = watches;
-            is_new
+        self.store_watch.watches_store.send_if_modified(|current| {
+            let has_changed = *current != watches;
+            *current = watches;
+            has_changed
         });
     }
 
--- a/crates/edge/src/upstream_limits.rs
+++ b/crates/edge/src/upstream_limits.rs
@@ -213,8 +213,8 @@
     }
 
     fn send_limit_updates(&self) {
-        let out = self.upstream_limits.lock().take_updates();
-        for (to, update) in out {
+        let updates = self.upstream_limits.lock().take_updates();
+        for (to, update) in updates {
             self.send_datagram(&Datagram::LimitUpdate(update), to);
         }
     }
